--- a/crates/ledger/src/claim.rs
+++ b/crates/ledger/src/claim.rs
@@ -1,19 +1,18 @@
-//! Claims on a caller's own id, through the platform's store.
+//! Claims on a caller's own id, made in the platform's store.
 //!
-//! [`Claim`] drives create-if-absent to an end that can be trusted although
-//! any answer may be lost: each attempt carries a nonce, and after a lost
-//! answer the key is read back. Finding one's own nonce means the lost write
-//! took effect. The claim is never a lease: it does not lapse while a paused
-//! owner is unaware.
+//! [`Claim`] drives create-if-absent to a definite end even if store answers are lost: each
+//! claim carries a nonce, and after a lost answer the key is read back. If it holds the
+//! claim's own nonce, the write took effect. A claim is not a lease: it does not expire
+//! while a paused owner is unaware of it.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Incarnation, Millis};
 
-/// Allowance for a caller's clock that runs ahead, in milliseconds.
-const AHEAD_MS: u64 = 30_000;
+/// Maximum lead of a caller's clock, in milliseconds.
+const MAX_CLOCK_LEAD_MS: u64 = 30_000;
 
-/// What stands under a claimed key.
+/// Value stored under a claimed key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimValue {
     /// The entry that may run the request.
@@ -22,45 +21,44 @@
     pub nonce: u64,
 }
 
-/// What to do next in the store.
+/// Next operation on the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimStep {
-    /// Create the key with our value if it is absent.
+    /// Create the key with the claim's value if it is absent.
     Create,
     /// Read the key.
     Read,
 }
 
-/// What the store answered.
+/// Result of a store operation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreAnswer {
     Created,
     /// The key holds this value.
     Found(ClaimValue),
     Absent,
-    /// Nothing was sent or done: down, or over its limit.
+    /// The operation was not performed: the store is down or over its limit.
     NotDone,
-    /// No answer; a write may have taken effect.
+    /// No answer was received; a write may have taken effect.
     Lost,
 }
 
-/// How a claim ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Claimed {
-    /// Ours: run it.
+    /// This claim owns the id: run the request.
     Ours,
-    /// Another claim came first; ask its owner.
+    /// Another claim was first; contact its owner.
     Theirs(Incarnation),
 }
 
-/// Next step or end.
+/// Next operation, or the end of the claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Progress {
     Next(ClaimStep),
     End(Claimed),
 }
 
-/// One claim in progress.
+/// A claim in progress.
 #[derive(Debug, Clone)]
 pub struct Claim {
     value: ClaimValue,
@@ -75,7 +73,6 @@
         }
     }
 
-    /// Value to write.
     pub fn value(&self) -> &ClaimValue {
         &self.value
     }
@@ -84,19 +81,19 @@
         self.step
     }
 
-    /// Takes an answer. Giving up between steps is always safe: nothing has
-    /// run, though the claim may stand.
+    /// Handles a store answer. A claim may be abandoned between any two steps: nothing has
+    /// run, although the key may remain in the store.
     pub fn answer(&mut self, answer: StoreAnswer) -> Progress {
         match (self.step, answer) {
             (ClaimStep::Create, StoreAnswer::Created) => Progress::End(Claimed::Ours),
-            (_, StoreAnswer::Found(found)) => Progress::End(self.judge(&found)),
-            (ClaimStep::Create, StoreAnswer::Lost) => self.go(ClaimStep::Read),
-            (ClaimStep::Read, StoreAnswer::Absent) => self.go(ClaimStep::Create),
-            (step, _) => self.go(step),
+            (_, StoreAnswer::Found(found)) => Progress::End(self.claimed_by(&found)),
+            (ClaimStep::Create, StoreAnswer::Lost) => self.advance(ClaimStep::Read),
+            (ClaimStep::Read, StoreAnswer::Absent) => self.advance(ClaimStep::Create),
+            (step, _) => self.advance(step),
         }
     }
 
-    fn judge(&self, found: &ClaimValue) -> Claimed {
+    fn claimed_by(&self, found: &ClaimValue) -> Claimed {
         if *found == self.value {
             Claimed::Ours
         } else {
@@ -104,18 +101,18 @@
         }
     }
 
-    fn go(&mut self, step: ClaimStep) -> Progress {
+    fn advance(&mut self, step: ClaimStep) -> Progress {
         self.step = step;
         Progress::Next(step)
     }
 }
 
-/// Whether a caller's id is young enough to be claimed.
+/// True when a caller's id is recent enough to be claimed.
 ///
-/// `sent` and `wall_now` are wall-clock milliseconds; `claim_ms` is how long
-/// claims are kept. Half of it is left as a margin between the last moment an
-/// id is accepted and the first at which its claim may be gone.
+/// `sent` and `wall_now` are wall-clock milliseconds, `claim_ms` is the retention of
+/// claims. Half of the retention is a margin between the last time an id is accepted and
+/// the first time its claim may be evicted.
 pub fn id_is_young(sent: Millis, wall_now: Millis, claim_ms: Millis) -> bool {
     let age = wall_now.saturating_sub(sent);
-    sent <= wall_now + AHEAD_MS && age < claim_ms / 2
+    sent <= wall_now + MAX_CLOCK_LEAD_MS && age < claim_ms / 2
 }
--- a/crates/ledger/src/hand_over.rs
+++ b/crates/ledger/src/hand_over.rs
@@ -1,8 +1,7 @@
-//! What a stopping process gives to its successor.
+//! State that a stopping process hands over to its successor.
 //!
-//! Times travel as relative figures, so the two processes need no common
-//! clock: the successor keeps each record, and accepts each ticket, for the
-//! time that was left when it took over.
+//! Times are relative, so the processes need no common clock: the successor retains each
+//! record, and accepts each ticket, for the remaining time.
 
 use serde::{Deserialize, Serialize};
 
@@ -17,33 +16,33 @@
     pub issuers: Vec<HandedIssuer>,
 }
 
-/// Records of one issuer.
+/// Records and refusals of one issuer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HandedIssuer {
     pub issuer: Incarnation,
-    /// The issuer's clock at the moment of the hand-over.
+    /// Time on the issuer's clock at the hand-over, in milliseconds.
     pub clock: Millis,
     pub records: Vec<HandedRecord>,
-    /// What was refused as not run, and must stay so.
+    /// Tickets and ids that must stay refused.
     pub refused: Vec<HandedRefusal>,
 }
 
-/// One refusal for good.
+/// A permanent refusal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HandedRefusal {
     pub slot: Slot,
-    /// Milliseconds until it may be forgotten.
+    /// Milliseconds until it may be evicted.
     pub expires_in: Millis,
 }
 
-/// One closed record.
+/// A closed record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HandedRecord {
     pub slot: Slot,
     pub identity: Identity,
-    /// Milliseconds until it may be forgotten.
+    /// Milliseconds until it may be evicted.
     pub expires_in: Millis,
-    /// `None` when the answer was dropped or may not be held there.
+    /// `None` when the answer was dropped or the successor may not hold it.
     #[serde(with = "serde_bytes")]
     pub answer: Option<Vec<u8>>,
 }
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -1,9 +1,8 @@
-//! The ledger: one record per ticket or claim that was ever presented here.
+//! Ledger of the tickets and claims that were presented to this process.
 //!
-//! A record is opened before anything runs and closed with the outcome. Open
-//! records are never evicted. A closed record stays until its ticket can no
-//! longer be presented, so eviction never makes a second run possible; under
-//! pressure only the kept answer is dropped, never the fact that it ran.
+//! A record is opened before its request runs and closed with the answer. Open records are
+//! never evicted. Closed records stay until their ticket has expired, so that eviction
+//! can't lead to a second run; over the memory bound only the retained answer is dropped.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
@@ -13,27 +12,27 @@
 use crate::ticket::Ticket;
 use crate::{Incarnation, Millis};
 
-/// Bounds of one ledger.
+/// Capacity and retention times of a ledger.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
-    /// Records, open and closed.
+    /// Maximum number of records, open and closed.
     pub records: usize,
-    /// Bytes of kept outcomes.
+    /// Maximum size of the retained answers, in bytes.
     pub bytes: usize,
-    /// How long after its issue a ticket may be presented.
+    /// How long after its issue a ticket may be presented, in milliseconds.
     pub ticket_ms: Millis,
-    /// How long a claim's record is kept after it was opened.
+    /// How long a claim's record is retained after it was opened, in milliseconds.
     pub claim_ms: Millis,
 }
 
-/// What was presented: a ticket's number or the hash of a caller's own id.
+/// A ticket's number, or the hash of a caller's own id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Slot {
     Ticket(u64),
     Claim([u8; 32]),
 }
 
-/// Key of one record in the whole fleet.
+/// Key of a record, unique in the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RecordId {
     /// Entry that issued the ticket or made the claim.
@@ -41,7 +40,7 @@
     pub slot: Slot,
 }
 
-/// Who presents, and a digest of what is asked.
+/// Organisation of the caller and digest of its request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
     pub org: String,
@@ -49,33 +48,33 @@
     pub digest: [u8; 32],
 }
 
-/// What a presentation leads to.
+/// Outcome of presenting a ticket or claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Presented {
-    /// First time: run it now, then call [`Ledger::close`].
+    /// First presentation: run the request, then call [`Ledger::close`].
     Run,
-    /// It runs at this moment; wait for its outcome.
+    /// The request is running; wait for its answer.
     Wait,
-    /// It ended; this is its answer.
+    /// The request has ended with this answer.
     Kept(Vec<u8>),
-    /// It ended, but the answer had to be dropped.
+    /// The request has ended, but its answer was dropped.
     AnswerDropped,
     /// The ticket or id was used for another request or organisation.
     OtherRequest,
-    /// Too old to say; it is not run now, and may have run before.
+    /// The ticket or id has expired. The request isn't run now, but may have run before.
     Expired,
-    /// This ledger does not answer for that issuer.
+    /// This ledger isn't responsible for the issuer.
     NotIssuer,
-    /// The ledger is at its bound; not run, and never will be.
+    /// The ledger is full. The request wasn't run and never will be.
     Full,
-    /// This entry is stopping; not run, and never will be.
+    /// This entry is stopping. The request wasn't run and never will be.
     Stopped,
-    /// It was refused before as not run; it stays so.
+    /// The request was refused before it ran, and stays refused.
     Refused,
-    /// The ledger went to a successor, which alone can say.
+    /// The ledger was handed over; only the successor can answer.
     HandedOver,
-    /// Refused now, but there is no room to remember it: another send of it
-    /// may still run.
+    /// Refused, but there was no space to record the refusal: a later presentation may
+    /// still run.
     Unsure,
 }
 
@@ -89,23 +88,23 @@
 struct Record {
     identity: Identity,
     state: State,
-    /// When the record may be forgotten once it is closed.
+    /// Time from which the record may be evicted once it is closed.
     expires: Millis,
 }
 
-/// Clock of an issuer whose tickets this ledger answers for.
+/// Offset between the clocks of an issuer and of this process.
 #[derive(Debug, Clone, Copy)]
 struct IssuerClock {
-    /// What that issuer's clock showed at `here`.
-    there: Millis,
-    /// The same moment on this process's clock.
-    here: Millis,
+    /// Time on the issuer's clock at `local_time`.
+    issuer_time: Millis,
+    /// Time on this process's clock.
+    local_time: Millis,
 }
 
 impl IssuerClock {
-    /// A moment of the issuer's clock, on this process's clock.
-    fn to_here(self, issued: Millis) -> Millis {
-        (self.here + issued).saturating_sub(self.there)
+    /// Converts a time on the issuer's clock to this process's clock.
+    fn to_local_time(self, issued: Millis) -> Millis {
+        (self.local_time + issued).saturating_sub(self.issuer_time)
     }
 }
 
@@ -115,44 +114,47 @@
     bounds: Bounds,
     issuers: HashMap<Incarnation, IssuerClock>,
     records: HashMap<RecordId, Record>,
-    /// Closed records whose answer is kept, oldest first.
-    kept: VecDeque<RecordId>,
-    kept_bytes: usize,
-    /// Tickets and ids that were refused as "not run", by when they may be
-    /// forgotten: saying so is true only if no later send runs them.
+    /// Closed records with a retained answer, oldest first.
+    retained: VecDeque<RecordId>,
+    retained_bytes: usize,
+    /// Refused tickets and ids with their expiry. The refusal promises that the request
+    /// never runs, so later presentations must be refused too.
     refused: HashMap<RecordId, Millis>,
-    /// Every record by the moment it may be forgotten.
+    /// Every record, ordered by expiry.
     by_expiry: BTreeSet<(Millis, RecordId)>,
-    /// Claims that were forgotten on the way, not yet reported.
-    lapsed_claims: Vec<[u8; 32]>,
-    open: usize,
+    /// Evicted claims that [`Ledger::housekeep`] hasn't returned yet.
+    evicted_claims: Vec<[u8; 32]>,
+    open_count: usize,
     next_number: u64,
     stopped: bool,
-    /// A successor may answer by now.
+    /// The records were handed over, so a successor may already answer for them.
     handed_over: bool,
 }
 
 impl Ledger {
     pub fn new(own: Incarnation, bounds: Bounds) -> Self {
-        let own_clock = IssuerClock { there: 0, here: 0 };
+        let own_clock = IssuerClock {
+            issuer_time: 0,
+            local_time: 0,
+        };
         Ledger {
             own,
             bounds,
             issuers: HashMap::from([(own, own_clock)]),
             records: HashMap::new(),
-            kept: VecDeque::new(),
-            kept_bytes: 0,
+            retained: VecDeque::new(),
+            retained_bytes: 0,
             refused: HashMap::new(),
             by_expiry: BTreeSet::new(),
-            lapsed_claims: Vec::new(),
-            open: 0,
+            evicted_claims: Vec::new(),
+            open_count: 0,
             next_number: 0,
             stopped: false,
             handed_over: false,
         }
     }
 
-    /// Makes a new ticket for an organisation.
+    /// Issues a new ticket to an organisation.
     pub fn issue(&mut self, now: Millis, org: &str) -> Ticket {
         self.next_number += 1;
         Ticket {
@@ -163,12 +165,11 @@
         }
     }
 
-    /// True when this ledger answers for tickets of `issuer`.
+    /// True when this ledger is responsible for tickets of `issuer`.
     pub fn answers_for(&self, issuer: Incarnation) -> bool {
         self.issuers.contains_key(&issuer)
     }
 
-    /// Presents a ticket.
     pub fn present_ticket(
         &mut self,
         now: Millis,
@@ -185,26 +186,24 @@
             issuer: ticket.issuer,
             slot: Slot::Ticket(ticket.number),
         };
-        let expires = clock.to_here(ticket.issued) + self.bounds.ticket_ms;
-        let may_open = now < expires;
-        self.present(now, id, identity, expires, may_open)
+        let expires = clock.to_local_time(ticket.issued) + self.bounds.ticket_ms;
+        let can_open = now < expires;
+        self.present(now, id, identity, expires, can_open)
     }
 
-    /// Presents a caller's own id.
-    ///
-    /// `fresh` is true only for whoever has just made the claim in the store;
-    /// nobody else may open a record for it.
+    /// Presents a caller's own id. `is_new_claim` is true only when the caller of this
+    /// method has just made the claim in the store; otherwise no record is opened.
     pub fn present_claim(
         &mut self,
         now: Millis,
         id: RecordId,
         identity: &Identity,
-        fresh: bool,
+        is_new_claim: bool,
     ) -> Presented {
         if !self.issuers.contains_key(&id.issuer) {
             return Presented::NotIssuer;
         }
-        self.present(now, id, identity, now + self.bounds.claim_ms, fresh)
+        self.present(now, id, identity, now + self.bounds.claim_ms, is_new_claim)
     }
 
     fn present(
@@ -213,21 +212,21 @@
         id: RecordId,
         identity: &Identity,
         expires: Millis,
-        may_open: bool,
+        can_open: bool,
     ) -> Presented {
         if let Some(record) = self.records.get(&id) {
-            return answer_again(record, identity);
+            return outcome_of(record, identity);
         }
         if self.refused.contains_key(&id) {
             return Presented::Refused;
         }
-        if !may_open {
+        if !can_open {
             return Presented::Expired;
         }
         if self.handed_over {
             return Presented::HandedOver;
         }
-        self.forget_expired(now);
+        self.evict_expired_records(now);
         if self.stopped {
             return self.refuse(id, expires, Presented::Stopped);
         }
@@ -242,17 +241,17 @@
                 expires,
             },
         );
-        self.open += 1;
+        self.open_count += 1;
         Presented::Run
     }
 
-    /// Refuses for good, if there is room to remember it.
-    fn refuse(&mut self, id: RecordId, expires: Millis, why: Presented) -> Presented {
+    /// Records a permanent refusal, if there is space for it.
+    fn refuse(&mut self, id: RecordId, expires: Millis, outcome: Presented) -> Presented {
         if self.refused.len() >= self.bounds.records {
             return Presented::Unsure;
         }
         self.refused.insert(id, expires);
-        why
+        outcome
     }
 
     fn insert(&mut self, id: RecordId, record: Record) {
@@ -260,24 +259,23 @@
         self.records.insert(id, record);
     }
 
-    /// Closes an open record with its final answer.
-    ///
-    /// Returns false when there is no such open record; nothing changes then.
+    /// Closes an open record with its answer. Returns false, and changes nothing, when no
+    /// such record is open.
     pub fn close(&mut self, id: RecordId, answer: Vec<u8>) -> bool {
         match self.records.get_mut(&id) {
             Some(record) if matches!(record.state, State::Open) => {
-                self.kept_bytes += answer.len();
+                self.retained_bytes += answer.len();
                 record.state = State::Closed(Some(answer));
             }
             _ => return false,
         }
-        self.open -= 1;
-        self.kept.push_back(id);
-        self.drop_answers();
+        self.open_count -= 1;
+        self.retained.push_back(id);
+        self.evict_answers();
         true
     }
 
-    /// The record of a caller's own id, whichever issuer opened it.
+    /// Finds the record of a caller's own id, for any issuer.
     pub fn find_claim(&self, id_hash: &[u8; 32]) -> Option<RecordId> {
         self.issuers
             .keys()
@@ -294,61 +292,60 @@
             .is_some_and(|record| matches!(record.state, State::Open))
     }
 
-    fn drop_answers(&mut self) {
-        while self.kept_bytes > self.bounds.bytes {
-            let Some(id) = self.kept.pop_front() else {
+    fn evict_answers(&mut self) {
+        while self.retained_bytes > self.bounds.bytes {
+            let Some(id) = self.retained.pop_front() else {
                 return;
             };
             let Some(record) = self.records.get_mut(&id) else {
                 continue;
             };
             if let State::Closed(answer) = &mut record.state {
-                self.kept_bytes -= answer.take().map_or(0, |bytes| bytes.len());
+                self.retained_bytes -= answer.take().map_or(0, |bytes| bytes.len());
             }
         }
     }
 
-    /// Forgets closed records whose time has come; returns the hashes of all
-    /// claims forgotten since the last call, whose keys in the store may go too.
+    /// Evicts expired closed records. Returns the hashes of all claims evicted since the
+    /// last call, so that their keys can be deleted from the store.
     pub fn housekeep(&mut self, now: Millis) -> Vec<[u8; 32]> {
-        self.forget_expired(now);
-        std::mem::take(&mut self.lapsed_claims)
+        self.evict_expired_records(now);
+        std::mem::take(&mut self.evicted_claims)
     }
 
-    fn forget_expired(&mut self, now: Millis) {
+    fn evict_expired_records(&mut self, now: Millis) {
         self.refused.retain(|_, expires| *expires > now);
-        let due: Vec<_> = self
+        let expired: Vec<_> = self
             .by_expiry
             .iter()
             .take_while(|(expires, _)| *expires <= now)
             .filter(|(_, id)| !self.is_open(*id))
             .copied()
             .collect();
-        for entry in &due {
+        for entry in &expired {
             self.by_expiry.remove(entry);
             if let Some(Record {
                 state: State::Closed(Some(answer)),
                 ..
             }) = self.records.remove(&entry.1)
             {
-                self.kept_bytes -= answer.len();
+                self.retained_bytes -= answer.len();
             }
         }
         let records = &self.records;
-        self.kept.retain(|id| records.contains_key(id));
-        let claims = due.into_iter().filter_map(|(_, id)| match id.slot {
+        self.retained.retain(|id| records.contains_key(id));
+        let claims = expired.into_iter().filter_map(|(_, id)| match id.slot {
             Slot::Claim(hash) => Some(hash),
             Slot::Ticket(_) => None,
         });
-        self.lapsed_claims.extend(claims);
+        self.evicted_claims.extend(claims);
     }
 
-    /// Records open at this moment.
     pub fn open_records(&self) -> usize {
-        self.open
+        self.open_count
     }
 
-    /// Records held, open and closed.
+    /// Number of records, open and closed.
     pub fn len(&self) -> usize {
         self.records.len()
     }
@@ -357,18 +354,16 @@
         self.records.is_empty()
     }
 
-    /// Opens nothing from now on.
+    /// Opens no records from now on.
     pub fn stop(&mut self) {
         self.stopped = true;
     }
 
-    /// Everything a successor needs, or `None` while a record is open or this
-    /// ledger still opens new ones.
-    ///
-    /// `may_hold` says whether the successor may hold an organisation's
-    /// answers; where not, only the fact that the request ended goes over.
+    /// Returns the state for a successor, or `None` while a record is open or the ledger
+    /// isn't stopped. Answers are included only for organisations for which `may_hold` is
+    /// true; for others, only the fact that the request ended.
     pub fn hand_over(&mut self, now: Millis, may_hold: impl Fn(&str) -> bool) -> Option<HandOver> {
-        if !self.stopped || self.open > 0 {
+        if !self.stopped || self.open_count > 0 {
             return None;
         }
         self.handed_over = true;
@@ -377,7 +372,7 @@
             .iter()
             .map(|(&issuer, clock)| HandedIssuer {
                 issuer,
-                clock: clock.there + (now - clock.here),
+                clock: clock.issuer_time + (now - clock.local_time),
                 records: self.handed_records(now, issuer, &may_hold),
                 refused: self.handed_refusals(now, issuer),
             })
@@ -422,9 +417,8 @@
             .collect()
     }
 
-    /// Takes over from a stopped process; repeating it changes nothing.
-    ///
-    /// Returns false when this ledger is stopping itself: the giver must then
+    /// Takes over the records of a stopped process; idempotent. Returns false when this
+    /// ledger is stopped itself and didn't take them over before; the sender must then
     /// choose another successor.
     pub fn adopt(&mut self, now: Millis, hand_over: HandOver) -> bool {
         if self.stopped {
@@ -435,8 +429,8 @@
                 continue;
             }
             let clock = IssuerClock {
-                there: handed.clock,
-                here: now,
+                issuer_time: handed.clock,
+                local_time: now,
             };
             self.issuers.insert(handed.issuer, clock);
             for record in handed.records {
@@ -450,7 +444,7 @@
                 self.refused.insert(id, now + refusal.expires_in);
             }
         }
-        self.drop_answers();
+        self.evict_answers();
         true
     }
 
@@ -460,8 +454,8 @@
             slot: handed.slot,
         };
         if let Some(answer) = &handed.answer {
-            self.kept_bytes += answer.len();
-            self.kept.push_back(id);
+            self.retained_bytes += answer.len();
+            self.retained.push_back(id);
         }
         let record = Record {
             identity: handed.identity,
@@ -472,7 +466,7 @@
     }
 }
 
-fn answer_again(record: &Record, identity: &Identity) -> Presented {
+fn outcome_of(record: &Record, identity: &Identity) -> Presented {
     if record.identity != *identity {
         return Presented::OtherRequest;
     }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,14 +1,11 @@
-//! What may run, has run, and may not run again.
+//! At-most-once execution of requests that must not be repeated.
 //!
-//! A request that must not be repeated presents either a [`ticket::Ticket`]
-//! made by an entry of this fleet, or an id of its caller's own that is
-//! claimed in the platform's store ([`claim`]). Both end at one [`Ledger`]: the
-//! issuer's or the claimer's. It opens a record before the request runs,
-//! closes it with the outcome, and gives that outcome again to whoever
-//! presents the same ticket with the same request.
+//! Such a request presents either a [`ticket::Ticket`] issued by an entry of this fleet, or
+//! an id chosen by its caller and claimed in the platform's store ([`claim`]). The
+//! [`Ledger`] of the issuer or claimer opens a record before the request runs, closes it
+//! with the answer, and returns that answer when the same request is presented again.
 //!
-//! Everything here is a plain state machine: time is an argument, in
-//! milliseconds since the owning process started, and never a wall clock.
+//! This crate does no I/O and reads no clock: time is passed in.
 
 pub mod claim;
 pub mod hand_over;
@@ -22,5 +19,5 @@
 /// Milliseconds since the owning process started.
 pub type Millis = u64;
 
-/// Identifies one run of one entry process; random, never reused.
+/// Identifies one run of an entry process; random, never reused.
 pub type Incarnation = u64;
--- a/crates/ledger/tests/suite/claim.rs
+++ b/crates/ledger/tests/suite/claim.rs
@@ -1,7 +1,8 @@
-//! Claims against a model of the store that loses answers and delays writes.
+//! Property test of claims, against a model of the store that loses answers and delays
+//! writes.
 //!
-//! Oracle: whatever happens, at most one claim is told that the id is its own,
-//! and never one whose value does not stand in the store.
+//! At most one claim may end as the owner of an id, and its value must be the one in the
+//! store.
 
 use hollowsail_ledger::claim::{
     id_is_young, Claim, ClaimStep, ClaimValue, Claimed, Progress, StoreAnswer,
@@ -9,24 +10,24 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// What the network does with one call.
+/// Network fault of one call.
 #[derive(Debug, Clone, Copy)]
-enum Fate {
+enum NetworkFault {
     Answered,
     /// Takes effect; the answer is lost.
     AnswerLost,
-    /// Takes effect later, when another call comes; the answer is lost.
+    /// Takes effect at the next call; the answer is lost.
     Delayed,
-    /// Never arrives; the caller knows.
+    /// Is not sent, and the caller learns this.
     NotSent,
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn fault() -> impl Strategy<Value = NetworkFault> {
     prop_oneof![
-        3 => Just(Fate::Answered),
-        2 => Just(Fate::AnswerLost),
-        1 => Just(Fate::Delayed),
-        1 => Just(Fate::NotSent),
+        3 => Just(NetworkFault::Answered),
+        2 => Just(NetworkFault::AnswerLost),
+        1 => Just(NetworkFault::Delayed),
+        1 => Just(NetworkFault::NotSent),
     ]
 }
 
@@ -47,14 +48,14 @@
         }
     }
 
-    fn call(&mut self, step: ClaimStep, value: &ClaimValue, fate: Fate) -> StoreAnswer {
-        if let Some(late) = self.delayed.pop() {
-            self.create(&late);
+    fn call(&mut self, step: ClaimStep, value: &ClaimValue, fault: NetworkFault) -> StoreAnswer {
+        if let Some(delayed_value) = self.delayed.pop() {
+            self.create(&delayed_value);
         }
-        if matches!(fate, Fate::NotSent) {
+        if matches!(fault, NetworkFault::NotSent) {
             return StoreAnswer::NotDone;
         }
-        if matches!(fate, Fate::Delayed) {
+        if matches!(fault, NetworkFault::Delayed) {
             if step == ClaimStep::Create {
                 self.delayed.push(value.clone());
             }
@@ -67,8 +68,8 @@
                 None => StoreAnswer::Absent,
             },
         };
-        match fate {
-            Fate::AnswerLost => StoreAnswer::Lost,
+        match fault {
+            NetworkFault::AnswerLost => StoreAnswer::Lost,
             _ => answer,
         }
     }
@@ -82,17 +83,17 @@
         ..ProptestConfig::default()
     })]
     #[test]
-    fn at_most_one_claimer_owns_an_id(calls in prop::collection::vec((0usize..4, fate()), 1..60)) {
+    fn at_most_one_claimer_owns_an_id(calls in prop::collection::vec((0usize..4, fault()), 1..60)) {
         let mut store = Store::default();
         let mut claims: Vec<(Claim, Option<Claimed>)> = (0..4)
-            .map(|at| (Claim::new(ClaimValue { owner: at, nonce: 100 + at }), None))
+            .map(|id| (Claim::new(ClaimValue { owner: id, nonce: 100 + id }), None))
             .collect();
-        for (who, fate) in calls {
-            let (claim, ended) = &mut claims[who];
+        for (index, fault) in calls {
+            let (claim, ended) = &mut claims[index];
             if ended.is_some() {
                 continue;
             }
-            let answer = store.call(claim.step(), &claim.value().clone(), fate);
+            let answer = store.call(claim.step(), &claim.value().clone(), fault);
             if let Progress::End(claimed) = claim.answer(answer) {
                 *ended = Some(claimed);
             }
@@ -107,13 +108,13 @@
         }
         for (_, ended) in &claims {
             if let Some(Claimed::Theirs(owner)) = ended {
-                prop_assert_eq!(store.value.as_ref().map(|v| v.owner), Some(*owner));
+                prop_assert_eq!(store.value.as_ref().map(|value| value.owner), Some(*owner));
             }
         }
     }
 }
 
-/// Cases per property; the long mode sets more.
+/// Cases per property; `HOLLOWSAIL_CASES` overrides the default.
 pub fn cases() -> u32 {
     std::env::var("HOLLOWSAIL_CASES")
         .ok()
@@ -122,15 +123,18 @@
 }
 
 #[test]
-fn an_id_is_accepted_while_its_claim_certainly_stands() {
+fn id_accepted_for_half_of_claim_retention() {
     assert!(id_is_young(1000, 1000, 3_600_000));
     assert!(
         id_is_young(21_000, 1000, 3_600_000),
-        "a clock a little ahead"
+        "caller's clock leads by 20 s"
+    );
+    assert!(
+        !id_is_young(61_000, 1000, 3_600_000),
+        "caller's clock leads by 60 s"
     );
-    assert!(!id_is_young(61_000, 1000, 3_600_000), "a clock far ahead");
     assert!(
         !id_is_young(0, 1_800_000, 3_600_000),
-        "half of the time is margin"
+        "older than half of the retention"
     );
 }
--- a/crates/ledger/tests/suite/ledger.rs
+++ b/crates/ledger/tests/suite/ledger.rs
@@ -1,8 +1,8 @@
-//! Stateful fuzzing of ledgers that hand over to each other.
+//! State-machine test of ledgers that hand over to each other.
 //!
-//! The oracle is the list of tickets: who presented each first, how often it
-//! was told to run, and the answer it was closed with. Ledgers have clocks of
-//! their own, stop, hand over, and get the same hand-over twice.
+//! The oracle records, per ticket, the first presenter, the number of runs and the final
+//! answer. Each ledger has its own clock; ledgers stop, hand over, and receive hand-overs
+//! repeatedly.
 
 use std::collections::HashMap;
 
@@ -22,17 +22,16 @@
     claim_ms: 5000,
 };
 
-/// One step.
 #[derive(Debug, Clone)]
 enum Step {
     Issue {
         ledger: usize,
     },
-    /// Ticket by age, newest first; one of three presenters.
+    /// `ticket` counts from the newest; `presenter` is one of three.
     Present {
         ledger: usize,
         ticket: usize,
-        who: u8,
+        presenter: u8,
     },
     Close {
         ticket: usize,
@@ -40,8 +39,8 @@
     Wait {
         ms: u64,
     },
-    /// Housekeeping of one ledger.
-    Forget {
+    /// Evicts expired records of one ledger.
+    EvictExpired {
         ledger: usize,
     },
     Stop {
@@ -53,16 +52,16 @@
     },
     /// The network delivers an old hand-over again.
     Redeliver {
-        at: usize,
+        index: usize,
     },
 }
 
-/// The machine needs no model of its own to generate steps: all are allowed
-/// at any time. What must hold is checked on the ledgers' answers.
+/// All steps are allowed at any time, so the reference machine has no state; [`World`]
+/// checks the ledgers' answers.
 #[derive(Debug, Clone)]
-struct AnySteps;
+struct StatelessReference;
 
-impl ReferenceStateMachine for AnySteps {
+impl ReferenceStateMachine for StatelessReference {
     type State = ();
     type Transition = Step;
 
@@ -75,13 +74,13 @@
         prop_oneof![
             3 => ledger.clone().prop_map(|ledger| Step::Issue { ledger }),
             8 => (ledger.clone(), 0usize..6, 0u8..3)
-                .prop_map(|(ledger, ticket, who)| Step::Present { ledger, ticket, who }),
+                .prop_map(|(ledger, ticket, presenter)| Step::Present { ledger, ticket, presenter }),
             4 => (0usize..6).prop_map(|ticket| Step::Close { ticket }),
             2 => (0u64..1500).prop_map(|ms| Step::Wait { ms }),
-            2 => ledger.clone().prop_map(|ledger| Step::Forget { ledger }),
+            2 => ledger.clone().prop_map(|ledger| Step::EvictExpired { ledger }),
             1 => ledger.clone().prop_map(|ledger| Step::Stop { ledger }),
             2 => (ledger.clone(), ledger).prop_map(|(from, to)| Step::HandOver { from, to }),
-            1 => (0usize..4).prop_map(|at| Step::Redeliver { at }),
+            1 => (0usize..4).prop_map(|index| Step::Redeliver { index }),
         ]
         .boxed()
     }
@@ -89,134 +88,145 @@
     fn apply(_: (), _: &Step) {}
 }
 
-/// What the oracle knows of one ticket.
-struct Known {
+/// Expected state of one ticket.
+struct TicketState {
     ticket: Ticket,
     issued_at: u64,
     runs: u32,
-    /// Ledger that it runs at, while it is open.
+    /// Ledger with an open record for the ticket.
     open_at: Option<usize>,
-    first: Option<Identity>,
+    first_identity: Option<Identity>,
     answer: Option<Vec<u8>>,
-    /// Somebody was told that it is not run.
-    told_not_run: bool,
+    /// A presentation was refused with a promise that the request never runs.
+    refused: bool,
 }
 
 struct World {
     now: u64,
     ledgers: Vec<Ledger>,
     stopped: [bool; LEDGERS],
-    given: [Option<usize>; LEDGERS],
-    sent: Vec<(usize, HandOver)>,
-    known: Vec<Known>,
+    successors: [Option<usize>; LEDGERS],
+    hand_overs: Vec<(usize, HandOver)>,
+    tickets: Vec<TicketState>,
 }
 
 impl World {
-    /// Each ledger's process started at another moment.
+    /// Each ledger's process has its own start time.
     fn clock(&self, ledger: usize) -> u64 {
         self.now + 1000 * ledger as u64
     }
 
-    fn nth_newest(&self, at: usize) -> Option<usize> {
-        self.known.len().checked_sub(1 + at)
+    fn nth_newest(&self, index: usize) -> Option<usize> {
+        self.tickets.len().checked_sub(1 + index)
     }
 
-    fn present(&mut self, ledger: usize, at: usize, who: u8) {
+    fn present(&mut self, ledger: usize, index: usize, presenter: u8) {
         let clock = self.clock(ledger);
-        let known = &mut self.known[at];
+        let state = &mut self.tickets[index];
         let identity = Identity {
-            org: if who == 2 { "q" } else { "o" }.into(),
-            digest: [who.min(1); 32],
+            org: if presenter == 2 { "q" } else { "o" }.into(),
+            digest: [presenter.min(1); 32],
         };
-        let old = self.now >= known.issued_at + TICKET_MS;
-        let presented = self.ledgers[ledger].present_ticket(clock, &known.ticket, &identity);
+        let expired = self.now >= state.issued_at + TICKET_MS;
+        let presented = self.ledgers[ledger].present_ticket(clock, &state.ticket, &identity);
         match presented {
             Presented::Run => {
-                assert_eq!(known.runs, 0, "told to run again");
-                assert!(!known.told_not_run, "runs after somebody was told not run");
-                assert!(!old, "told to run after its time");
-                assert!(!self.stopped[ledger], "told to run by a stopped ledger");
-                assert_eq!(identity.org, known.ticket.org);
-                known.runs += 1;
-                known.open_at = Some(ledger);
-                known.first = Some(identity);
+                assert_eq!(state.runs, 0, "ran twice");
+                assert!(!state.refused, "ran after a permanent refusal");
+                assert!(!expired, "ran after its expiry");
+                assert!(!self.stopped[ledger], "run by a stopped ledger");
+                assert_eq!(identity.org, state.ticket.org);
+                state.runs += 1;
+                state.open_at = Some(ledger);
+                state.first_identity = Some(identity);
             }
             Presented::Wait => {
                 assert_eq!(
-                    known.open_at,
+                    state.open_at,
                     Some(ledger),
-                    "waits for what does not run here"
+                    "waits for a request that doesn't run here"
                 );
-                assert_eq!(known.first.as_ref(), Some(&identity));
+                assert_eq!(state.first_identity.as_ref(), Some(&identity));
             }
             Presented::Kept(answer) => {
-                assert_eq!(known.answer.as_ref(), Some(&answer));
-                assert_eq!(known.first.as_ref(), Some(&identity), "another's answer");
+                assert_eq!(state.answer.as_ref(), Some(&answer));
+                assert_eq!(
+                    state.first_identity.as_ref(),
+                    Some(&identity),
+                    "answer of another request"
+                );
             }
             Presented::AnswerDropped => {
-                assert!(known.answer.is_some());
-                assert_eq!(known.first.as_ref(), Some(&identity));
+                assert!(state.answer.is_some());
+                assert_eq!(state.first_identity.as_ref(), Some(&identity));
             }
             Presented::OtherRequest => {
-                assert!(known.first.as_ref() != Some(&identity) || identity.org != known.ticket.org)
+                assert!(
+                    state.first_identity.as_ref() != Some(&identity)
+                        || identity.org != state.ticket.org
+                )
             }
-            Presented::Expired => assert!(old, "refused as old before its time"),
+            Presented::Expired => assert!(expired, "expired too early"),
             Presented::NotIssuer | Presented::Unsure | Presented::HandedOver => {
-                assert_ne!(known.open_at, Some(ledger), "an open record is gone");
+                assert_ne!(state.open_at, Some(ledger), "an open record was lost");
             }
             Presented::Full | Presented::Stopped | Presented::Refused => {
-                assert_eq!(known.runs, 0, "told not run, and it ran");
-                known.told_not_run = true;
+                assert_eq!(state.runs, 0, "permanently refused after it ran");
+                state.refused = true;
             }
         }
     }
 
-    fn close(&mut self, at: usize) {
-        let known = &mut self.known[at];
-        let Some(ledger) = known.open_at.take() else {
+    fn close(&mut self, index: usize) {
+        let state = &mut self.tickets[index];
+        let Some(ledger) = state.open_at.take() else {
             return;
         };
-        let answer = vec![at as u8; 12];
+        let answer = vec![index as u8; 12];
         let id = RecordId {
-            issuer: known.ticket.issuer,
-            slot: Slot::Ticket(known.ticket.number),
+            issuer: state.ticket.issuer,
+            slot: Slot::Ticket(state.ticket.number),
         };
         assert!(
             self.ledgers[ledger].close(id, answer.clone()),
-            "the record was open"
+            "close found no open record"
         );
-        known.answer = Some(answer);
+        state.answer = Some(answer);
     }
 
     fn hand_over(&mut self, from: usize, to: usize) {
-        let may_go = self.given[from].is_none_or(|given| given == to);
-        if from == to || !may_go {
+        let may_send = self.successors[from].is_none_or(|successor| successor == to);
+        if from == to || !may_send {
             return;
         }
         let clock = self.clock(from);
-        let open = self.known.iter().any(|known| known.open_at == Some(from));
-        let Some(message) = self.ledgers[from].hand_over(clock, |_| true) else {
-            assert!(open || !self.stopped[from], "refused without a reason");
+        let open = self.tickets.iter().any(|state| state.open_at == Some(from));
+        let Some(hand_over_state) = self.ledgers[from].hand_over(clock, |_| true) else {
+            assert!(
+                open || !self.stopped[from],
+                "hand-over refused although nothing is open"
+            );
             return;
         };
         assert!(
             !open && self.stopped[from],
-            "handed over while it still runs"
+            "handed over before stopping or with open records"
         );
-        self.sent.push((to, message));
-        self.given[from] = Some(to);
-        self.deliver(self.sent.len() - 1);
+        self.hand_overs.push((to, hand_over_state));
+        self.successors[from] = Some(to);
+        self.deliver(self.hand_overs.len() - 1);
     }
 
-    fn deliver(&mut self, at: usize) {
-        let Some((to, message)) = self.sent.get(at).cloned() else {
+    fn deliver(&mut self, index: usize) {
+        let Some((to, hand_over_state)) = self.hand_overs.get(index).cloned() else {
             return;
         };
         let clock = self.clock(to);
-        let from = message.from as usize;
-        if !self.ledgers[to].adopt(clock, message) && self.given[from] == Some(to) {
-            // Refused: the giver may choose another, unless it was taken before.
-            self.given[from] = None;
+        let from = hand_over_state.from as usize;
+        if !self.ledgers[to].adopt(clock, hand_over_state) && self.successors[from] == Some(to) {
+            // Refused: the sender may choose another successor, unless this one took over
+            // before.
+            self.successors[from] = None;
         }
     }
 }
@@ -225,7 +235,7 @@
 
 impl StateMachineTest for LedgerTest {
     type SystemUnderTest = World;
-    type Reference = AnySteps;
+    type Reference = StatelessReference;
 
     fn init_test(_: &()) -> World {
         World {
@@ -234,9 +244,9 @@
                 .map(|own| Ledger::new(own, BOUNDS))
                 .collect(),
             stopped: [false; LEDGERS],
-            given: [None; LEDGERS],
-            sent: Vec::new(),
-            known: Vec::new(),
+            successors: [None; LEDGERS],
+            hand_overs: Vec::new(),
+            tickets: Vec::new(),
         }
     }
 
@@ -245,32 +255,32 @@
             Step::Issue { ledger } => {
                 let clock = world.clock(ledger);
                 let ticket = world.ledgers[ledger].issue(clock, "o");
-                world.known.push(Known {
+                world.tickets.push(TicketState {
                     ticket,
                     issued_at: world.now,
                     runs: 0,
                     open_at: None,
-                    first: None,
+                    first_identity: None,
                     answer: None,
-                    told_not_run: false,
+                    refused: false,
                 });
             }
             Step::Present {
                 ledger,
                 ticket,
-                who,
+                presenter,
             } => {
-                if let Some(at) = world.nth_newest(ticket) {
-                    world.present(ledger, at, who);
+                if let Some(index) = world.nth_newest(ticket) {
+                    world.present(ledger, index, presenter);
                 }
             }
             Step::Close { ticket } => {
-                if let Some(at) = world.nth_newest(ticket) {
-                    world.close(at);
+                if let Some(index) = world.nth_newest(ticket) {
+                    world.close(index);
                 }
             }
             Step::Wait { ms } => world.now += ms,
-            Step::Forget { ledger } => {
+            Step::EvictExpired { ledger } => {
                 let clock = world.clock(ledger);
                 world.ledgers[ledger].housekeep(clock);
             }
@@ -279,25 +289,36 @@
                 world.stopped[ledger] = true;
             }
             Step::HandOver { from, to } => world.hand_over(from, to),
-            Step::Redeliver { at } => world.deliver(at),
+            Step::Redeliver { index } => world.deliver(index),
         }
         world
     }
 
     fn check_invariants(world: &World, _: &()) {
-        for (at, ledger) in world.ledgers.iter().enumerate() {
-            let open = world.known.iter().filter(|k| k.open_at == Some(at)).count();
+        for (index, ledger) in world.ledgers.iter().enumerate() {
+            let open = world
+                .tickets
+                .iter()
+                .filter(|state| state.open_at == Some(index))
+                .count();
             assert_eq!(ledger.open_records(), open);
-            let adopted: usize = world.sent.iter().filter(|(to, _)| *to == at).count();
+            let adopted: usize = world
+                .hand_overs
+                .iter()
+                .filter(|(to, _)| *to == index)
+                .count();
             assert!(ledger.len() <= BOUNDS.records * (1 + adopted));
         }
         let numbers: HashMap<(u64, u64), usize> =
-            world.known.iter().fold(HashMap::new(), |mut seen, known| {
-                *seen
-                    .entry((known.ticket.issuer, known.ticket.number))
-                    .or_default() += 1;
-                seen
-            });
+            world
+                .tickets
+                .iter()
+                .fold(HashMap::new(), |mut counts, state| {
+                    *counts
+                        .entry((state.ticket.issuer, state.ticket.number))
+                        .or_default() += 1;
+                    counts
+                });
         assert!(
             numbers.values().all(|count| *count == 1),
             "a ticket was issued twice"
@@ -313,7 +334,7 @@
         ..ProptestConfig::default()
     })]
     #[test]
-    fn a_ticket_runs_at_most_once_and_keeps_its_answer(sequential 1..80 => LedgerTest);
+    fn ticket_runs_once_and_retains_its_answer(sequential 1..80 => LedgerTest);
 }
 
 fn identity() -> Identity {
@@ -324,7 +345,7 @@
 }
 
 #[test]
-fn under_pressure_the_answer_goes_and_the_fact_stays() {
+fn memory_bound_drops_answers_not_records() {
     let mut ledger = Ledger::new(
         1,
         Bounds {
@@ -344,14 +365,14 @@
         };
         assert!(ledger.close(id, vec![0; 15]));
     }
-    let again =
-        |ledger: &mut Ledger, at: usize| ledger.present_ticket(2, &tickets[at], &identity());
-    assert_eq!(again(&mut ledger, 0), Presented::AnswerDropped);
-    assert_eq!(again(&mut ledger, 4), Presented::Kept(vec![0; 15]));
+    let present_again =
+        |ledger: &mut Ledger, index: usize| ledger.present_ticket(2, &tickets[index], &identity());
+    assert_eq!(present_again(&mut ledger, 0), Presented::AnswerDropped);
+    assert_eq!(present_again(&mut ledger, 4), Presented::Kept(vec![0; 15]));
 }
 
 #[test]
-fn nobody_but_the_claimer_opens_a_claim() {
+fn only_the_claimer_opens_a_claim_record() {
     let mut ledger = Ledger::new(1, BOUNDS);
     let id = RecordId {
         issuer: 1,
@@ -373,7 +394,7 @@
 }
 
 #[test]
-fn an_answer_goes_only_where_it_may_be_held() {
+fn hand_over_omits_answers_not_allowed() {
     let mut ledger = Ledger::new(1, BOUNDS);
     let ticket = ledger.issue(0, "o");
     ledger.present_ticket(0, &ticket, &identity());
@@ -383,31 +404,31 @@
     };
     ledger.close(id, vec![1]);
     ledger.stop();
-    let message = ledger.hand_over(5, |_| false).expect("nothing is open");
+    let hand_over_state = ledger.hand_over(5, |_| false).expect("no record is open");
     let mut successor = Ledger::new(2, BOUNDS);
-    assert!(successor.adopt(100, message));
+    assert!(successor.adopt(100, hand_over_state));
     let presented = successor.present_ticket(101, &ticket, &identity());
     assert_eq!(presented, Presented::AnswerDropped);
 }
 
 #[test]
-fn an_open_record_is_never_forgotten() {
+fn open_record_is_never_evicted() {
     let mut ledger = Ledger::new(1, BOUNDS);
     let ticket = ledger.issue(0, "o");
     ledger.present_ticket(0, &ticket, &identity());
-    let long_after = 100 * TICKET_MS;
-    ledger.housekeep(long_after);
-    let presented = ledger.present_ticket(long_after, &ticket, &identity());
+    let after_expiry = 100 * TICKET_MS;
+    ledger.housekeep(after_expiry);
+    let presented = ledger.present_ticket(after_expiry, &ticket, &identity());
     assert_eq!(presented, Presented::Wait);
     assert_eq!(ledger.open_records(), 1);
 }
 
 #[test]
-fn what_a_full_ledger_refused_stays_refused_when_there_is_room_again() {
+fn refusal_by_full_ledger_is_permanent() {
     let mut ledger = Ledger::new(1, BOUNDS);
-    let old: Vec<Ticket> = (0..BOUNDS.records).map(|_| ledger.issue(0, "o")).collect();
-    let young = ledger.issue(900, "o");
-    for ticket in &old {
+    let older: Vec<Ticket> = (0..BOUNDS.records).map(|_| ledger.issue(0, "o")).collect();
+    let newest = ledger.issue(900, "o");
+    for ticket in &older {
         ledger.present_ticket(900, ticket, &identity());
         let id = RecordId {
             issuer: 1,
@@ -416,18 +437,18 @@
         ledger.close(id, vec![1]);
     }
     assert_eq!(
-        ledger.present_ticket(900, &young, &identity()),
+        ledger.present_ticket(900, &newest, &identity()),
         Presented::Full
     );
-    let room_again = 1100;
-    ledger.housekeep(room_again);
+    let after_eviction = 1100;
+    ledger.housekeep(after_eviction);
     assert!(ledger.is_empty());
-    let presented = ledger.present_ticket(room_again, &young, &identity());
+    let presented = ledger.present_ticket(after_eviction, &newest, &identity());
     assert_eq!(presented, Presented::Refused);
 }
 
 #[test]
-fn a_claim_is_reported_once_when_it_is_forgotten_and_never_while_it_is_open() {
+fn evicted_claim_is_reported_once() {
     let mut ledger = Ledger::new(1, BOUNDS);
     let id = RecordId {
         issuer: 1,
--- a/crates/ledger/tests/suite/main.rs
+++ b/crates/ledger/tests/suite/main.rs
@@ -1,4 +1,4 @@
-//! The ledger and its parts, against simple oracles.
+//! Example and property tests for the ledger, claims and tickets.
 
 mod claim;
 mod ledger;
--- a/crates/ledger/tests/suite/ticket.rs
+++ b/crates/ledger/tests/suite/ticket.rs
@@ -1,4 +1,4 @@
-//! Tickets cannot be made up or changed.
+//! Tests that tickets can't be forged or changed.
 
 use hollowsail_ledger::Ticket;
 use proptest::prelude::*;
@@ -16,10 +16,13 @@
 }
 
 #[test]
-fn a_ticket_reads_back_under_its_own_key_alone() {
+fn ticket_decodes_only_with_its_own_key() {
     let text = ticket().encode(KEY);
-    assert_eq!(Ticket::decode(&text, KEY).expect("it is ours"), ticket());
-    let err = Ticket::decode(&text, b"another key").expect_err("it is not theirs");
+    assert_eq!(
+        Ticket::decode(&text, KEY).expect("the key matches"),
+        ticket()
+    );
+    let err = Ticket::decode(&text, b"another key").expect_err("the key differs");
     assert!(err.to_string().contains("not issued by this fleet"));
 }
 
@@ -30,18 +33,18 @@
         ..ProptestConfig::default()
     })]
     #[test]
-    fn a_changed_character_is_noticed(at in 0usize..200, with in "[A-Za-z0-9_-]") {
+    fn changed_ticket_is_rejected(index in 0usize..200, replacement in "[A-Za-z0-9_-]") {
         let text = ticket().encode(KEY);
-        let at = at % text.len();
+        let index = index % text.len();
         let mut changed = text.clone();
-        changed.replace_range(at..=at, &with);
+        changed.replace_range(index..=index, &replacement);
         if changed != text {
             prop_assert!(Ticket::decode(&changed, KEY).is_err());
         }
     }
 
     #[test]
-    fn noise_is_no_ticket(noise in ".{0,200}") {
-        prop_assert!(Ticket::decode(&noise, KEY).is_err());
+    fn random_text_is_rejected(text in ".{0,200}") {
+        prop_assert!(Ticket::decode(&text, KEY).is_err());
     }
 }
--- a/crates/stages/src/batch/calls.rs
+++ b/crates/stages/src/batch/calls.rs
@@ -1,51 +1,50 @@
-//! The life of a call: it starts with the pieces chosen for a free worker, and
-//! ends with an answer or without; one that lasts too long gives its pieces to
-//! other workers meanwhile.
+//! Starts and ends calls to workers. A call that exceeds its time limit returns its pieces
+//! to the queue, so that another worker can take them in the meantime.
 
 use super::{BatchQueue, CallEnd, CallKey, PieceKey, StartedCall, StartedPiece, WorkerKey};
 use crate::Millis;
 
-/// A call is overdue after this multiple of its expected time ...
+/// A call is overdue after `expected * OVERDUE_FACTOR + OVERDUE_SLACK_MS`.
 const OVERDUE_FACTOR: f64 = 1.8;
-/// ... and this many milliseconds; a worker's host may lag a little.
+/// Allows for a short delay of the worker's host.
 const OVERDUE_SLACK_MS: f64 = 80.0;
 
-/// A call under way.
+/// A call in progress.
 #[derive(Debug)]
 pub(super) struct Call {
     pub worker: WorkerKey,
     pub pieces: Vec<StartedPiece>,
     pub started: Millis,
     pub expected_ms: f64,
-    /// Its pieces wait again for other workers.
+    /// Its pieces were queued again for other workers.
     pub overdue: bool,
 }
 
 impl Call {
-    /// How long it may last until it is overdue, in milliseconds.
+    /// Duration after which the call is overdue, in milliseconds.
     fn limit_ms(&self) -> f64 {
         self.expected_ms * OVERDUE_FACTOR + OVERDUE_SLACK_MS
     }
 }
 
 impl<T> BatchQueue<T> {
-    /// Workers with a call under way.
+    /// Workers with a call in progress.
     pub fn busy_workers(&self) -> impl Iterator<Item = WorkerKey> + '_ {
         self.calls.values().map(|call| call.worker)
     }
 
-    /// Calls under way.
+    /// Number of calls in progress.
     pub fn running(&self) -> usize {
         self.calls.len()
     }
 
-    /// The next call to make, if a worker is free and a piece waits.
+    /// Starts the next call, if a worker is free and a piece is waiting.
     pub fn next_call(&mut self, now: Millis) -> Option<StartedCall> {
         if self.waiting.is_empty() {
             return None;
         }
         let mut free = self.free_workers(now);
-        free.sort_by(|a, b| self.burden(*a).total_cmp(&self.burden(*b)));
+        free.sort_by(|a, b| self.load_score(*a).total_cmp(&self.load_score(*b)));
         free.into_iter().find_map(|worker| {
             let pieces = self.choose_pieces(worker, now);
             (!pieces.is_empty()).then(|| self.start(worker, pieces, now))
@@ -61,12 +60,12 @@
             pieces.push(StartedPiece { key, result_bytes });
             self.waiting.remove(&(piece.rank, key));
             if let Some(group) = self.groups.get_mut(&piece.order.group) {
-                group.begun = true;
+                group.started = true;
             }
             self.workers[worker].held_bytes += result_bytes;
         }
         self.workers[worker].calls += 1;
-        self.workers[worker].called(now, self.limit_share);
+        self.workers[worker].record_call(now, self.limit_share);
         let call = self.calls.insert(Call {
             worker,
             pieces: pieces.clone(),
@@ -82,17 +81,18 @@
         }
     }
 
-    /// A call ended. If it was refused, the memory set aside for its results is
-    /// free again; else [`BatchQueue::free`] frees it for each, also where no
-    /// answer came: the results may lie at the worker all the same.
-    /// Its pieces that aren't finished and are in no other call
-    /// are given back: the caller finishes or requeues each.
+    /// Ends a call. Returns its unfinished pieces that are in no other call; the owner
+    /// finishes or requeues each.
+    ///
+    /// Memory reserved for the results is released here only for a refused call. After any
+    /// other end, also without an answer, the worker may retain the results, so the owner
+    /// releases each with [`BatchQueue::free`].
     pub fn end_call(&mut self, call: CallKey, end: CallEnd, now: Millis) -> Vec<PieceKey> {
         let Some(call) = self.calls.remove(call) else {
             return Vec::new();
         };
-        self.judge_worker(&call, end, now);
-        let mut left = Vec::new();
+        self.record_call_end(&call, end, now);
+        let mut unfinished = Vec::new();
         for StartedPiece { key, result_bytes } in call.pieces {
             if end == CallEnd::Refused {
                 self.free(call.worker, result_bytes);
@@ -102,14 +102,14 @@
             };
             piece.calls -= 1;
             if piece.calls == 0 && !self.waiting.contains(&(piece.rank, key)) {
-                left.push(key);
+                unfinished.push(key);
             }
         }
-        left
+        unfinished
     }
 
-    /// Pieces of calls that last far too long wait again, for other workers.
-    /// Returns the workers that turned out slow.
+    /// Queues the pieces of overdue calls again for other workers. Returns the workers of
+    /// these calls.
     pub fn take_overdue(&mut self, now: Millis) -> Vec<WorkerKey> {
         let mut slow = Vec::new();
         for call in self.calls.values_mut() {
@@ -126,7 +126,7 @@
         }
         for worker in &slow {
             if let Some(worker) = self.workers.get_mut(*worker) {
-                worker.found_slow();
+                worker.mark_slow();
             }
         }
         slow
--- a/crates/stages/src/batch/load.rs
+++ b/crates/stages/src/batch/load.rs
@@ -1,5 +1,4 @@
-//! What a queue has to do, for those who judge by it whether a request can be
-//! in time.
+//! Summarises the load of a queue for admission forecasts.
 
 use std::collections::BTreeMap;
 
@@ -9,27 +8,27 @@
 use super::BatchQueue;
 use crate::Millis;
 
-/// Calls for which a result is taken to stay at its worker before any was seen to
-/// leave: its own, and half of the next stage's.
-const STAY_CALLS: f64 = 1.5;
-/// What a queue without a working worker is taken for: far too little.
-const LEAST_SLOTS: f64 = 0.25;
+/// Assumed retention of a result before any was observed, in whole calls: its own call and
+/// half of the next stage's.
+const DEFAULT_RETENTION_CALLS: f64 = 1.5;
+/// Lower bound of the reported slots, for queues without an available worker.
+const MIN_SLOTS: f64 = 0.25;
 
-/// How much work a queue has, for those who judge requests by it.
+/// Load of a queue, sent to the entries that forecast requests.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct QueueLoad {
-    /// Pieces made at a time.
+    /// Pieces processed concurrently.
     pub slots: f32,
     /// Pieces in calls.
     pub running: u32,
     /// Waiting pieces that can be in time, by priority.
     pub ahead: Vec<(u8, u32)>,
-    /// Time of a whole batch, in milliseconds.
+    /// Duration of a whole batch, in milliseconds.
     pub call_ms: u32,
 }
 
 impl QueueLoad {
-    /// Pieces that go before one of a priority.
+    /// Number of pieces that go before a new one of this priority.
     pub fn ahead_of(&self, priority: u8) -> u32 {
         let before = self.ahead.iter().filter(|(other, _)| *other <= priority);
         self.running + before.map(|(_, pieces)| pieces).sum::<u32>()
@@ -37,7 +36,7 @@
 }
 
 impl<T> BatchQueue<T> {
-    /// What a piece that comes now finds.
+    /// The load that a piece pushed now would meet.
     pub fn load(&self, now: Millis) -> QueueLoad {
         let mut ahead: BTreeMap<u8, u32> = BTreeMap::new();
         let mut bytes = 0;
@@ -59,31 +58,31 @@
         }
     }
 
-    /// How long results stay at their makers, in whole calls; their own call at least.
-    fn stay_calls(&self) -> f64 {
+    /// Mean retention of results in whole calls, at least one.
+    fn retention_calls(&self) -> f64 {
         let whole_call = self.rules.expected_ms(self.rules.batch);
-        let seen = self.stay_ms().map(|ms| ms / whole_call.max(1.0));
-        seen.unwrap_or(STAY_CALLS).max(1.0)
+        let observed = self.mean_retention_ms().map(|ms| ms / whole_call.max(1.0));
+        observed.unwrap_or(DEFAULT_RETENTION_CALLS).max(1.0)
     }
 
-    /// The part of its time in which a worker has a call: all of it, less where its limit
-    /// allows fewer calls than it could make.
-    fn used_part(&self, worker: &Worker) -> f64 {
+    /// Share of time in which a worker can have a call: 1, or less if its rate limit is
+    /// lower than its call rate.
+    fn utilisation(&self, worker: &Worker) -> f64 {
         let call_s = self.rules.expected_ms(self.rules.batch) / 1_000.0;
         let rate = worker.limit.map(|per_s| self.limit_share.rate(per_s));
         rate.map_or(1.0, |per_s| (per_s * WORK_SHARE * call_s).min(1.0))
     }
 
-    /// Pieces that the workers make at a time: whole batches, fewer where they
-    /// are slow or limited, or where results of so many bytes fill their memory first.
+    /// Pieces that the workers process concurrently: whole batches, reduced for slow or
+    /// rate-limited workers, and where results of this size fill the memory first.
     fn slots(&self, result_bytes: u64) -> f32 {
-        let works = |worker: &&Worker| !worker.leaving && worker.failures == 0;
+        let is_available = |worker: &&Worker| !worker.draining && worker.failures == 0;
         let fitting = self.rules.result_bytes as f64 / result_bytes.max(1) as f64;
-        let at_once = (fitting / self.stay_calls()).min(self.rules.batch as f64);
-        let workers = self.workers.values().filter(works);
+        let concurrent = (fitting / self.retention_calls()).min(self.rules.batch as f64);
+        let workers = self.workers.values().filter(is_available);
         let slots: f64 = workers
-            .map(|worker| at_once / worker.slowness.max(1.0) * self.used_part(worker))
+            .map(|worker| concurrent / worker.slowness.max(1.0) * self.utilisation(worker))
             .sum();
-        slots.max(LEAST_SLOTS) as f32
+        slots.max(MIN_SLOTS) as f32
     }
 }
--- a/crates/stages/src/batch/types.rs
+++ b/crates/stages/src/batch/types.rs
@@ -1,50 +1,48 @@
-//! The words in which a queue and its owner speak: keys, rules, orders, calls.
+//! Types of the queue's interface: keys, rules, piece orders and calls.
 
 use slotmap::new_key_type;
 
 use crate::Millis;
 
 new_key_type! {
-    /// One worker.
     pub struct WorkerKey;
-    /// One piece, until its result is in or it is given up.
+    /// A piece, until it is finished or cancelled.
     pub struct PieceKey;
-    /// One call under way.
+    /// A call in progress.
     pub struct CallKey;
 }
 
-/// What one worker does, by the configuration.
+/// Configured capacity and cost of each worker of a queue.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PoolRules {
-    /// Calls at work at once.
+    /// Maximum number of concurrent calls.
     pub running: usize,
-    /// Pieces in a call at most.
+    /// Maximum number of pieces in a call.
     pub batch: usize,
-    /// Time of a call besides that of its pieces.
+    /// Fixed time of a call, in milliseconds.
     pub call_ms: f64,
-    /// About the time of a piece.
+    /// Approximate additional time per piece, in milliseconds.
     pub piece_ms: f64,
-    /// Memory for results.
+    /// Memory for results, in bytes.
     pub result_bytes: u64,
 }
 
 impl PoolRules {
-    /// Time of a call with so many pieces.
+    /// Expected duration of a call, in milliseconds.
     pub fn expected_ms(&self, pieces: usize) -> f64 {
         self.call_ms + self.piece_ms * pieces as f64
     }
 }
 
-/// Some data halls, by their numbers.
+/// A set of data halls; distinguishes hall numbers below 128.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Halls(u128);
 
 impl Halls {
-    /// Every hall.
     pub const ALL: Halls = Halls(u128::MAX);
 
-    /// Some halls. One whose number is beyond what is told apart is left out: a piece that
-    /// has to stay in its place goes nowhere else.
+    /// A set of the given halls. Numbers from 128 on are left out, so that a piece
+    /// restricted to such a hall runs nowhere else.
     pub fn only(halls: impl IntoIterator<Item = HallKey>) -> Self {
         Halls(
             halls
@@ -53,7 +51,6 @@
         )
     }
 
-    /// True when a hall is among them.
     pub fn contain(self, hall: HallKey) -> bool {
         self == Halls::ALL || self.0 & Self::bit(hall) != 0
     }
@@ -63,61 +60,60 @@
     }
 }
 
-/// How urgent a piece is, and what its result takes.
+/// Urgency, placement and result size of a piece.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PieceOrder {
     /// 0 is the most urgent.
     pub priority: u8,
-    /// When the result should be there.
+    /// Time by which the result should be available.
     pub due: Millis,
-    /// When the result is of no use any more.
+    /// Time from which the result is no longer needed.
     pub expires: Millis,
-    /// Data halls in which it may be made.
+    /// Data halls in which it may run.
     pub halls: Halls,
-    /// About the size of the result.
+    /// Approximate size of the result, in bytes.
     pub result_bytes: u64,
-    /// Pieces of one group, the stage of a request, are of use together only.
+    /// The group, one stage of one request: its results are usable only together.
     pub group: GroupKey,
-    /// Results that it starts from fill their makers' memory until it is made, so
-    /// it doesn't wait behind others even when it is late.
+    /// True when its inputs occupy worker memory until it is complete. Such a piece doesn't
+    /// queue behind others even when it is late.
     pub holds_inputs: bool,
-    /// Where the result is wanted; another hall's workers make it only once it
-    /// has waited a while.
+    /// Preferred hall; workers of other halls take it only after a wait.
     pub hall: Option<HallKey>,
 }
 
-/// Pieces that are of use together only, by a number of the caller's own.
+/// Identifies a group of pieces whose results are usable only together; numbered by the
+/// caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct GroupKey(pub u64);
 
-/// A data hall, by a number of the caller's own.
+/// Identifies a data hall; numbered by the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct HallKey(pub u16);
 
-/// A call to make now.
+/// A call to be sent now.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StartedCall {
     pub call: CallKey,
     pub worker: WorkerKey,
-    /// When it was made.
+    /// Time of the start.
     pub at: Millis,
     pub pieces: Vec<StartedPiece>,
 }
 
-/// One piece of a call, and the memory that is set aside for its result.
+/// A piece of a call, and the bytes reserved for its result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StartedPiece {
     pub key: PieceKey,
     pub result_bytes: u64,
 }
 
-/// How a call ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallEnd {
-    /// The worker answered, whatever it says of the pieces.
+    /// The worker answered, whatever the results of the pieces.
     Answered,
-    /// The worker was full; it did nothing.
+    /// The worker was full and did no work.
     Refused,
-    /// No answer.
+    /// No answer was received.
     Failed,
 }
--- a/crates/stages/src/batch/workers.rs
+++ b/crates/stages/src/batch/workers.rs
@@ -1,9 +1,8 @@
-//! The workers of a queue: who is free, how much memory each has left, and how
-//! well it did.
+//! Workers of a queue: availability, free memory for results, and recent performance.
 //!
-//! A worker that fails or is full rests for a while; one that is slow gets a
-//! call now and then, to see whether it recovered. One that names a limit gets calls
-//! at that rate, those that give results up included.
+//! A worker that fails or refuses a call backs off for a while, and a slow one gets only
+//! occasional calls until it recovers. A worker with a rate limit gets calls at that rate;
+//! calls that release results count towards it.
 
 use hollowsail_routing::{LimitGate, LimitShare};
 use serde::{Deserialize, Serialize};
@@ -12,225 +11,221 @@
 use super::{BatchQueue, CallEnd, HallKey, WorkerKey};
 use crate::Millis;
 
-/// Weight of the newest call in a worker's slowness.
-const NEW_WEIGHT: f64 = 0.4;
-/// Slowness from which on a worker gets a call only now and then.
+/// Weight of the newest call in the moving average of a worker's slowness.
+const NEWEST_CALL_WEIGHT: f64 = 0.4;
+/// Slowness from which a worker counts as slow.
 const SLOW_FACTOR: f64 = 2.0;
-/// Between two calls to a slow worker, in milliseconds, to see whether it
-/// recovered.
+/// Interval between calls to a slow worker, in milliseconds.
 const PROBE_MS: Millis = 800;
-/// How long a worker that failed takes nothing, in milliseconds; doubles with
-/// each failure in a row.
-const OUT_MS: Millis = 300;
-/// Most doublings of [`OUT_MS`].
-const MOST_DOUBLINGS: u32 = 4;
-/// How long a worker that was full takes nothing, in milliseconds.
-const FULL_MS: Millis = 20;
-/// How long a worker whose memory is full gets only small results, in
-/// milliseconds.
+/// Backoff after a failed call, in milliseconds; doubles with each consecutive failure.
+const FAILURE_BACKOFF_MS: Millis = 300;
+/// Maximum number of doublings of [`FAILURE_BACKOFF_MS`].
+const MAX_BACKOFF_DOUBLINGS: u32 = 4;
+/// Backoff after a refused call, in milliseconds.
+const REFUSED_BACKOFF_MS: Millis = 20;
+/// How long a worker whose memory is full gets only small results, in milliseconds.
 const MEMORY_FULL_MS: Millis = 40;
-/// Part of a worker's memory that small results may take meanwhile.
-const SMALL_SHARE: f64 = 0.02;
-/// Part of a worker's memory that is filled; the rest is for results whose
-/// size was told too small.
-const MEMORY_SHARE: f64 = 0.95;
-/// Of the calls that a limited worker takes, one in so many gives results up: more would
-/// leave it no time for work, none would fill its memory.
-const CALLS_A_FREE: f64 = 5.0;
-/// For how long a call that gives results up, once it is due, keeps work away from a limited
-/// worker, in milliseconds: longer than between two tries of its owner's. Work that goes
-/// whenever the worker is open would leave it none.
-const FREE_GOES_FIRST_MS: Millis = 200;
-/// Part of a limited worker's calls that is left for work.
-pub(super) const WORK_SHARE: f64 = 1.0 - 1.0 / CALLS_A_FREE;
+/// Share of a worker's memory available to small results while the memory is full.
+const SMALL_RESULTS_SHARE: f64 = 0.02;
+/// Share of a worker's memory that is filled; the rest absorbs results larger than
+/// declared.
+const USABLE_MEMORY_SHARE: f64 = 0.95;
+/// One in this many calls to a rate-limited worker releases results: with more, little of
+/// the limit would remain for work; with none, the worker's memory would fill up.
+const CALLS_PER_RELEASE: f64 = 5.0;
+/// How long a pending release takes precedence over work at a rate-limited worker, in
+/// milliseconds. Must exceed the owner's retry interval, or work would take every open
+/// slot.
+const RELEASE_PRIORITY_MS: Millis = 200;
+/// Share of a rate-limited worker's calls that remains for work.
+pub(super) const WORK_SHARE: f64 = 1.0 - 1.0 / CALLS_PER_RELEASE;
 
-/// What the next owner of a queue is told of a worker.
+/// State of a worker that is handed over to the next owner of a queue.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct WorkerState {
-    /// Memory that results take.
+    /// Memory occupied by results.
     pub held_bytes: u64,
-    /// Time until its call ends, about, in milliseconds; 0 without a call.
+    /// Expected time until its call ends, in milliseconds; 0 without a call.
     pub busy_ms: Millis,
-    /// Recent times of its calls over the expected ones.
+    /// Moving average of the ratio of actual to expected call time.
     pub slowness: f64,
 }
 
-/// What is known of one worker.
 #[derive(Debug)]
 pub(super) struct Worker {
     pub hall: HallKey,
     pub calls: usize,
     pub held_bytes: u64,
-    /// Takes nothing new before this.
-    pub out_until: Millis,
-    /// It said that its memory is full; only small results go there before
-    /// this.
-    pub full_until: Millis,
-    /// Failures in a row.
+    /// No new call before this time.
+    pub backoff_until: Millis,
+    /// Only small results before this time, because its memory is full.
+    pub memory_full_until: Millis,
+    /// Consecutive failures.
     pub failures: u32,
-    /// Takes nothing new ever; goes with its last call.
-    pub leaving: bool,
-    /// Recent times of its calls over the expected ones.
+    /// Gets no new calls; removed when its last call ends.
+    pub draining: bool,
+    /// Moving average of the ratio of actual to expected call time.
     pub slowness: f64,
-    /// Calls a second that it takes from all entries together, while it names that.
+    /// Rate limit over all entries together, in calls per second.
     pub limit: Option<f64>,
     gate: LimitGate,
-    /// While limited, it gets no call that gives results up before this.
-    frees_from: Millis,
-    /// Such a call is due, and goes before any other until this.
-    free_goes_first_until: Millis,
+    /// Earliest time of the next releasing call while rate-limited.
+    next_release_at: Millis,
+    /// A releasing call is pending and takes precedence until this time.
+    release_priority_until: Millis,
 }
 
 impl Worker {
-    /// When it may get a call at the earliest, busy or not.
-    pub fn opens(&self, now: Millis, part: LimitShare) -> Millis {
-        self.gate.opens(now, self.limit, part).max(self.out_until)
+    /// Earliest time of the next call, regardless of calls in progress.
+    pub fn next_call_at(&self, now: Millis, share: LimitShare) -> Millis {
+        self.gate
+            .opens(now, self.limit, share)
+            .max(self.backoff_until)
     }
 
-    /// It gets a call.
-    pub fn called(&mut self, now: Millis, part: LimitShare) {
-        self.gate.sent(now, self.limit, part);
+    /// Counts a call towards the rate limit.
+    pub fn record_call(&mut self, now: Millis, share: LimitShare) {
+        self.gate.sent(now, self.limit, share);
     }
 
-    /// It takes so much longer than it should that waiting for another is
-    /// better.
     pub fn is_slow(&self) -> bool {
         self.slowness >= SLOW_FACTOR
     }
 
-    /// It takes work, and its last call was answered in time.
-    pub fn does_well(&self) -> bool {
-        !self.leaving && self.failures == 0 && !self.is_slow()
+    /// True when it accepts work and its last call was answered in time.
+    pub fn is_healthy(&self) -> bool {
+        !self.draining && self.failures == 0 && !self.is_slow()
     }
 
-    /// One of its calls is overdue.
-    pub fn found_slow(&mut self) {
+    /// Counts it as slow because one of its calls is overdue.
+    pub fn mark_slow(&mut self) {
         self.slowness = self.slowness.max(SLOW_FACTOR);
     }
 }
 
 impl<T> BatchQueue<T> {
-    /// A worker came.
     pub fn add_worker(&mut self, hall: HallKey) -> WorkerKey {
         self.workers.insert(Worker {
             hall,
             calls: 0,
             held_bytes: 0,
-            out_until: 0,
-            full_until: 0,
+            backoff_until: 0,
+            memory_full_until: 0,
             failures: 0,
-            leaving: false,
+            draining: false,
             slowness: 1.0,
             limit: None,
             gate: LimitGate::default(),
-            frees_from: 0,
-            free_goes_first_until: 0,
+            next_release_at: 0,
+            release_priority_until: 0,
         })
     }
 
-    /// A worker names so many calls a second as its limit, or none.
+    /// Sets or clears the rate limit of a worker, in calls per second.
     pub fn set_limit(&mut self, worker: WorkerKey, limit: Option<f64>) {
         if let Some(worker) = self.workers.get_mut(worker) {
             worker.limit = limit;
         }
     }
 
-    /// Uses another part of the workers' limits from now on.
-    pub fn set_limit_share(&mut self, part: LimitShare) {
-        self.limit_share = part;
+    /// Sets the share of the workers' rate limits that this queue uses.
+    pub fn set_limit_share(&mut self, share: LimitShare) {
+        self.limit_share = share;
     }
 
-    /// True when a worker may get a call now that gives results up, and counts that call.
-    /// Where it may not, the owner tries again soon.
+    /// Returns true, and counts the call, when a call that releases results may be sent to
+    /// a worker now. Otherwise the owner tries again shortly.
     pub fn begin_free(&mut self, worker: WorkerKey, now: Millis) -> bool {
-        let part = self.limit_share;
+        let share = self.limit_share;
         let Some(state) = self.workers.get_mut(worker) else {
             return true;
         };
         let Some(per_s) = state.limit else {
             return true;
         };
-        if now < state.frees_from {
+        if now < state.next_release_at {
             return false;
         }
-        if state.opens(now, part) > now {
-            state.free_goes_first_until = now + FREE_GOES_FIRST_MS;
+        if state.next_call_at(now, share) > now {
+            state.release_priority_until = now + RELEASE_PRIORITY_MS;
             return false;
         }
-        state.free_goes_first_until = 0;
-        state.called(now, part);
-        let pause_ms = CALLS_A_FREE * 1_000.0 / part.rate(per_s);
-        state.frees_from = now + pause_ms as Millis;
+        state.release_priority_until = 0;
+        state.record_call(now, share);
+        let interval_ms = CALLS_PER_RELEASE * 1_000.0 / share.rate(per_s);
+        state.next_release_at = now + interval_ms as Millis;
         true
     }
 
-    /// A worker leaves: it gets nothing new.
+    /// Drains a worker: it gets no new calls, and is removed when its calls have ended.
     pub fn remove_worker(&mut self, worker: WorkerKey) {
         if let Some(state) = self.workers.get_mut(worker) {
-            state.leaving = true;
+            state.draining = true;
             if state.calls == 0 {
                 self.workers.remove(worker);
             }
         }
     }
 
-    /// Workers that can start a call now.
     pub(super) fn free_workers(&self, now: Millis) -> Vec<WorkerKey> {
         self.workers
             .iter()
-            .filter(|(_, worker)| !worker.leaving && worker.opens(now, self.limit_share) <= now)
-            .filter(|(_, worker)| worker.free_goes_first_until <= now)
+            .filter(|(_, worker)| {
+                !worker.draining && worker.next_call_at(now, self.limit_share) <= now
+            })
+            .filter(|(_, worker)| worker.release_priority_until <= now)
             .filter(|(_, worker)| worker.calls < self.rules.running)
             .map(|(key, _)| key)
             .collect()
     }
 
-    /// Slowness and filled memory of a worker; the least burdened goes first.
-    pub(super) fn burden(&self, worker: WorkerKey) -> f64 {
+    /// Slowness plus used share of memory; the worker with the lowest score goes first.
+    pub(super) fn load_score(&self, worker: WorkerKey) -> f64 {
         let worker = &self.workers[worker];
         worker.slowness + worker.held_bytes as f64 / self.rules.result_bytes.max(1) as f64
     }
 
-    /// Memory of a worker that results may still take, by what is known of it.
-    pub(super) fn room(&self, worker: WorkerKey, now: Millis) -> u64 {
+    /// Memory of a worker that is still available to results, in bytes.
+    pub(super) fn free_memory(&self, worker: WorkerKey, now: Millis) -> u64 {
         let state = &self.workers[worker];
-        let whole = self.rules.result_bytes as f64;
-        if now < state.full_until {
-            return self.small_room();
+        let total = self.rules.result_bytes as f64;
+        if now < state.memory_full_until {
+            return self.small_results_memory();
         }
-        let usable = (whole * MEMORY_SHARE) as u64;
+        let usable = (total * USABLE_MEMORY_SHARE) as u64;
         usable.saturating_sub(state.held_bytes)
     }
 
-    /// What small results may take of a worker's memory that is full.
-    pub(super) fn small_room(&self) -> u64 {
-        (self.rules.result_bytes as f64 * SMALL_SHARE) as u64
+    /// Memory available to small results at a worker whose memory is full, in bytes.
+    pub(super) fn small_results_memory(&self) -> u64 {
+        (self.rules.result_bytes as f64 * SMALL_RESULTS_SHARE) as u64
     }
 
-    /// A worker had no memory for a result, though there should have been some:
-    /// results differ in size, and freed ones are freed a little later there.
+    /// Marks the memory of a worker as full, although the accounting here shows free
+    /// memory: results differ from their declared size, and the worker releases them with a
+    /// delay.
     pub fn no_room(&mut self, worker: WorkerKey, now: Millis) {
         if let Some(worker) = self.workers.get_mut(worker) {
-            worker.full_until = now + MEMORY_FULL_MS;
+            worker.memory_full_until = now + MEMORY_FULL_MS;
         }
     }
 
-    /// A worker wants no call before a moment.
+    /// Sends a worker no call before `until`.
     pub fn rest(&mut self, worker: WorkerKey, until: Millis) {
         if let Some(worker) = self.workers.get_mut(worker) {
-            worker.out_until = worker.out_until.max(until);
+            worker.backoff_until = worker.backoff_until.max(until);
         }
     }
 
-    /// Results of so many bytes were given up at a worker.
+    /// Releases the memory of results at a worker.
     pub fn free(&mut self, worker: WorkerKey, bytes: u64) {
         if let Some(worker) = self.workers.get_mut(worker) {
             worker.held_bytes = worker.held_bytes.saturating_sub(bytes);
         }
     }
 
-    /// A call ended: says when its worker gets the next one.
-    pub(super) fn judge_worker(&mut self, call: &Call, end: CallEnd, now: Millis) {
+    /// Updates a worker's slowness and backoff after a call.
+    pub(super) fn record_call_end(&mut self, call: &Call, end: CallEnd, now: Millis) {
         let Some(worker) = self.workers.get_mut(call.worker) else {
             return;
         };
@@ -238,27 +233,27 @@
         match end {
             CallEnd::Answered => {
                 let ratio = (now - call.started) as f64 / call.expected_ms.max(1.0);
-                worker.slowness += NEW_WEIGHT * (ratio - worker.slowness);
+                worker.slowness += NEWEST_CALL_WEIGHT * (ratio - worker.slowness);
                 worker.failures = 0;
-                worker.out_until = if worker.is_slow() {
+                worker.backoff_until = if worker.is_slow() {
                     now + PROBE_MS
                 } else {
                     now
                 };
             }
-            CallEnd::Refused => worker.out_until = now + FULL_MS,
+            CallEnd::Refused => worker.backoff_until = now + REFUSED_BACKOFF_MS,
             CallEnd::Failed => {
-                let doublings = worker.failures.min(MOST_DOUBLINGS);
-                worker.out_until = now + (OUT_MS << doublings);
+                let doublings = worker.failures.min(MAX_BACKOFF_DOUBLINGS);
+                worker.backoff_until = now + (FAILURE_BACKOFF_MS << doublings);
                 worker.failures += 1;
             }
         }
-        if worker.leaving && worker.calls == 0 {
+        if worker.draining && worker.calls == 0 {
             self.workers.remove(call.worker);
         }
     }
 
-    /// What is known of a worker, for the queue's next owner.
+    /// State of a worker, for the next owner of the queue.
     pub fn worker_state(&self, worker: WorkerKey, now: Millis) -> Option<WorkerState> {
         let state = self.workers.get(worker)?;
         let ends = self
@@ -273,14 +268,14 @@
         })
     }
 
-    /// Takes over what the owner before knew of a worker. The memory is freed
-    /// with [`BatchQueue::free`]. A slow worker stays one: found slow anew by each
-    /// owner, it would get a whole batch each time.
-    pub fn take_over(&mut self, worker: WorkerKey, known: &WorkerState, now: Millis) {
+    /// Adds the state that the previous owner reported for a worker. Its memory is released
+    /// with [`BatchQueue::free`]. Slowness is carried over, so that a slow worker doesn't
+    /// get a whole batch from each new owner.
+    pub fn take_over(&mut self, worker: WorkerKey, previous: &WorkerState, now: Millis) {
         if let Some(state) = self.workers.get_mut(worker) {
-            state.held_bytes += known.held_bytes;
-            state.out_until = state.out_until.max(now + known.busy_ms);
-            state.slowness = state.slowness.max(known.slowness);
+            state.held_bytes += previous.held_bytes;
+            state.backoff_until = state.backoff_until.max(now + previous.busy_ms);
+            state.slowness = state.slowness.max(previous.slowness);
         }
     }
 }
--- a/crates/stages/src/graph.rs
+++ b/crates/stages/src/graph.rs
@@ -1,197 +1,193 @@
-//! The stages of one request: what may start, what it starts from, and what
-//! the request itself starts from.
-//!
-//! A stage has some pieces, possibly none. It may start when every piece of
-//! every stage that it needs is made; the final ones, which only the request
-//! needs, start together. Results are known by their handles. A
-//! result may be lost with its maker; [`StageGraph::lose_inputs`] makes its piece
-//! startable again. A result is spent once all that needs it is made.
+//! Dependency graph of the stages of one request. Pieces start once every piece of every
+//! stage they depend on is complete. Results are referred to by their handles, and are
+//! consumed once all dependents of their stage are complete.
 
 /// One piece of one stage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct PieceAt {
-    /// Position of the stage in its route.
+    /// Index of the stage in its route.
     pub stage: usize,
-    /// Position of the piece in its stage.
+    /// Index of the piece in its stage.
     pub piece: usize,
 }
 
-/// Size and needs of one stage.
+/// Number of pieces and dependencies of one stage.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StageSize {
-    /// 0 leaves the stage out.
+    /// 0 skips the stage.
     pub pieces: usize,
-    /// Earlier stages whose results it needs.
+    /// Earlier stages whose results this stage takes as input.
     pub after: Vec<usize>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum PieceState {
-    /// Not begun.
-    Open,
-    /// Handed out by [`StageGraph::start_ready`].
+    Pending,
+    /// Returned by [`StageGraph::start_ready`].
     Started,
-    /// Its result lies under this handle, which is empty once it was spent.
-    Made(String),
+    /// Handle of the result; empty once the result was consumed.
+    Completed(String),
 }
 
 /// Progress of one request through its stages.
 #[derive(Debug, Clone)]
 pub struct StageGraph {
-    sizes: Vec<StageSize>,
+    specs: Vec<StageSize>,
     states: Vec<Vec<PieceState>>,
-    joint_finals: bool,
+    align_final_stages: bool,
 }
 
 impl StageGraph {
-    /// Nothing begun. Every stage may need earlier ones only.
-    pub fn new(sizes: Vec<StageSize>) -> Self {
-        let states = sizes
+    /// A graph with all pieces pending. A stage may depend on earlier stages only.
+    pub fn new(specs: Vec<StageSize>) -> Self {
+        let states = specs
             .iter()
-            .map(|size| vec![PieceState::Open; size.pieces])
+            .map(|spec| vec![PieceState::Pending; spec.pieces])
             .collect();
         StageGraph {
-            sizes,
+            specs,
             states,
-            joint_finals: true,
+            align_final_stages: true,
         }
     }
 
-    /// The same where final stages don't wait for each other, to measure what their
-    /// waiting gains.
+    /// Lets final stages start independently, for comparison with the aligned start.
     pub fn with_separate_finals(self) -> Self {
         StageGraph {
-            joint_finals: false,
+            align_final_stages: false,
             ..self
         }
     }
 
-    /// Pieces that may start now and weren't handed out yet; they are from now
-    /// on.
+    /// Marks all pieces that can start as started, and returns them.
     pub fn start_ready(&mut self) -> Vec<PieceAt> {
-        let ready: Vec<PieceAt> = (0..self.sizes.len())
-            .filter(|&stage| self.may_start(stage))
-            .flat_map(|stage| self.open_pieces(stage))
+        let ready: Vec<PieceAt> = (0..self.specs.len())
+            .filter(|&stage| self.can_start(stage))
+            .flat_map(|stage| self.pending_pieces(stage))
             .collect();
-        for at in &ready {
-            self.states[at.stage][at.piece] = PieceState::Started;
+        for id in &ready {
+            self.states[id.stage][id.piece] = PieceState::Started;
         }
         ready
     }
 
-    /// A final stage waits for the other final ones: made sooner, its results would
-    /// only fill their makers' memory while a longer way is gone.
-    fn may_start(&self, stage: usize) -> bool {
-        match self.is_needed(stage) || !self.joint_finals {
-            true => self.has_inputs(stage),
-            false => self.final_stages().all(|stage| self.has_inputs(stage)),
+    /// A final stage waits until all final stages can start: completed earlier, its results
+    /// would occupy worker memory while a longer path is still running.
+    fn can_start(&self, stage: usize) -> bool {
+        match self.has_dependents(stage) || !self.align_final_stages {
+            true => self.inputs_complete(stage),
+            false => self.final_stages().all(|stage| self.inputs_complete(stage)),
         }
     }
 
-    /// True when every piece of every stage that a stage needs is made.
-    fn has_inputs(&self, stage: usize) -> bool {
-        let needed = &self.sizes[stage].after;
-        needed.iter().all(|&needed| self.is_made(needed))
+    fn inputs_complete(&self, stage: usize) -> bool {
+        let dependencies = &self.specs[stage].after;
+        dependencies
+            .iter()
+            .all(|&dependency| self.is_made(dependency))
     }
 
-    /// Stages with pieces whose results only the request itself needs.
+    /// Non-empty stages without dependents.
     fn final_stages(&self) -> impl Iterator<Item = usize> + '_ {
-        (0..self.sizes.len())
-            .filter(|&stage| self.sizes[stage].pieces > 0 && !self.is_needed(stage))
+        (0..self.specs.len())
+            .filter(|&stage| self.specs[stage].pieces > 0 && !self.has_dependents(stage))
     }
 
-    /// True when every piece of a stage is made.
     pub fn is_made(&self, stage: usize) -> bool {
         self.states[stage]
             .iter()
-            .all(|state| matches!(state, PieceState::Made(_)))
+            .all(|state| matches!(state, PieceState::Completed(_)))
     }
 
-    fn open_pieces(&self, stage: usize) -> impl Iterator<Item = PieceAt> + '_ {
+    fn pending_pieces(&self, stage: usize) -> impl Iterator<Item = PieceAt> + '_ {
         self.states[stage]
             .iter()
             .enumerate()
-            .filter(|(_, state)| **state == PieceState::Open)
+            .filter(|(_, state)| **state == PieceState::Pending)
             .map(move |(piece, _)| PieceAt { stage, piece })
     }
 
-    /// A piece was made.
-    pub fn made(&mut self, at: PieceAt, handle: String) {
-        self.states[at.stage][at.piece] = PieceState::Made(handle);
+    /// Records the result of a piece.
+    pub fn made(&mut self, id: PieceAt, handle: String) {
+        self.states[id.stage][id.piece] = PieceState::Completed(handle);
     }
 
-    /// A piece has to be made again, because its work failed or its result is
-    /// lost.
-    pub fn lose(&mut self, at: PieceAt) {
-        self.states[at.stage][at.piece] = PieceState::Open;
+    /// Makes a piece pending again after its work failed or its result was lost.
+    pub fn lose(&mut self, id: PieceAt) {
+        self.states[id.stage][id.piece] = PieceState::Pending;
     }
 
-    /// Results that a piece of `stage` was to start from are lost: their pieces
-    /// have to be made again, and whatever those need that was spent since.
-    /// Returns the pieces, whose results are of no use any more.
+    /// Resets the pieces behind lost inputs of `stage`, and recursively the consumed pieces
+    /// that these depend on. Returns all reset pieces; their results must not be used any
+    /// more.
     pub fn lose_inputs(&mut self, stage: usize, handles: &[String]) -> Vec<PieceAt> {
-        let mut lost = Vec::new();
-        for needed in self.sizes[stage].after.clone() {
+        let mut reset = Vec::new();
+        for dependency in self.specs[stage].after.clone() {
             let is_lost = |handle: &String| handles.contains(handle);
-            let pieces = self.reopen(needed, is_lost);
+            let pieces = self.reset_matching(dependency, is_lost);
             if !pieces.is_empty() {
-                lost.extend(self.reopen_spent_before(needed));
+                reset.extend(self.reset_consumed_before(dependency));
             }
-            lost.extend(pieces);
+            reset.extend(pieces);
         }
-        lost
+        reset
     }
 
-    /// Spent results before a stage whose pieces are made again.
-    fn reopen_spent_before(&mut self, stage: usize) -> Vec<PieceAt> {
-        let mut lost = Vec::new();
-        for needed in self.sizes[stage].after.clone() {
-            let pieces = self.reopen(needed, String::is_empty);
+    /// Recursively resets consumed pieces that `stage` depends on.
+    fn reset_consumed_before(&mut self, stage: usize) -> Vec<PieceAt> {
+        let mut reset = Vec::new();
+        for dependency in self.specs[stage].after.clone() {
+            let pieces = self.reset_matching(dependency, String::is_empty);
             if !pieces.is_empty() {
-                lost.extend(self.reopen_spent_before(needed));
+                reset.extend(self.reset_consumed_before(dependency));
             }
-            lost.extend(pieces);
+            reset.extend(pieces);
         }
-        lost
+        reset
     }
 
-    /// Made pieces of a stage whose handles fit become startable again.
-    fn reopen(&mut self, stage: usize, fits: impl Fn(&String) -> bool) -> Vec<PieceAt> {
-        let mut opened = Vec::new();
+    /// Resets completed pieces of a stage whose handle matches.
+    fn reset_matching(
+        &mut self,
+        stage: usize,
+        matches_handle: impl Fn(&String) -> bool,
+    ) -> Vec<PieceAt> {
+        let mut reset = Vec::new();
         for (piece, state) in self.states[stage].iter_mut().enumerate() {
-            if matches!(state, PieceState::Made(handle) if fits(handle)) {
-                *state = PieceState::Open;
-                opened.push(PieceAt { stage, piece });
+            if matches!(state, PieceState::Completed(handle) if matches_handle(handle)) {
+                *state = PieceState::Pending;
+                reset.push(PieceAt { stage, piece });
             }
         }
-        opened
+        reset
     }
 
-    /// Handles of all results that a stage starts from.
+    /// Handles of all input results of a stage.
     pub fn inputs_of(&self, stage: usize) -> Vec<String> {
-        let needed = self.sizes[stage].after.iter();
-        needed.flat_map(|&stage| self.handles(stage)).collect()
+        let dependencies = self.specs[stage].after.iter();
+        dependencies
+            .flat_map(|&stage| self.handles(stage))
+            .collect()
     }
 
-    /// Handles of all results that the request itself starts from: those of
-    /// the stages that no other stage needs.
+    /// Handles of all input results of the request itself: those of the final stages.
     pub fn final_inputs(&self) -> Vec<String> {
-        (0..self.sizes.len())
-            .filter(|&stage| !self.is_needed(stage))
+        (0..self.specs.len())
+            .filter(|&stage| !self.has_dependents(stage))
             .flat_map(|stage| self.handles(stage))
             .collect()
     }
 
-    /// Handles of results that nothing needs any more: those of a stage whose
-    /// dependents are all made. They are forgotten, so that each is told once.
+    /// Takes the handles of results whose dependents are all complete. Each handle is
+    /// returned once.
     pub fn take_spent(&mut self) -> Vec<String> {
-        let spent: Vec<usize> = (0..self.sizes.len())
-            .filter(|&stage| self.is_needed(stage) && self.dependents_made(stage))
+        let consumed: Vec<usize> = (0..self.specs.len())
+            .filter(|&stage| self.has_dependents(stage) && self.dependents_complete(stage))
             .collect();
         let mut handles = Vec::new();
-        for stage in spent {
+        for stage in consumed {
             for state in &mut self.states[stage] {
-                if let PieceState::Made(handle) = state {
+                if let PieceState::Completed(handle) = state {
                     if !handle.is_empty() {
                         handles.push(std::mem::take(handle));
                     }
@@ -201,42 +197,41 @@
         handles
     }
 
-    fn is_needed(&self, stage: usize) -> bool {
+    fn has_dependents(&self, stage: usize) -> bool {
         self.dependents(stage).next().is_some()
     }
 
-    fn dependents_made(&self, stage: usize) -> bool {
+    fn dependents_complete(&self, stage: usize) -> bool {
         self.dependents(stage)
             .all(|dependent| self.is_made(dependent))
     }
 
-    /// Stages with pieces that need this one.
+    /// Non-empty stages that depend on this one.
     fn dependents(&self, stage: usize) -> impl Iterator<Item = usize> + '_ {
-        let needs = move |size: &StageSize| size.pieces > 0 && size.after.contains(&stage);
-        self.sizes
+        let is_dependent = move |spec: &StageSize| spec.pieces > 0 && spec.after.contains(&stage);
+        self.specs
             .iter()
             .enumerate()
-            .filter(move |(_, size)| needs(size))
+            .filter(move |(_, spec)| is_dependent(spec))
             .map(|(dependent, _)| dependent)
     }
 
     fn handles(&self, stage: usize) -> impl Iterator<Item = String> + '_ {
         self.states[stage].iter().filter_map(|state| match state {
-            PieceState::Made(handle) if !handle.is_empty() => Some(handle.clone()),
+            PieceState::Completed(handle) if !handle.is_empty() => Some(handle.clone()),
             _ => None,
         })
     }
 
-    /// True when every piece of every stage is made.
     pub fn is_done(&self) -> bool {
-        (0..self.sizes.len()).all(|stage| self.is_made(stage))
+        (0..self.specs.len()).all(|stage| self.is_made(stage))
     }
 
-    /// Time of the stages on the longest way from the end of a stage to the
-    /// request, when each takes `ms_of` its position, in milliseconds.
+    /// Longest path from the end of a stage to the request, in milliseconds, where `ms_of`
+    /// gives the duration of a stage.
     pub fn ms_after(&self, stage: usize, ms_of: &impl Fn(usize) -> u64) -> u64 {
-        let ways = self.dependents(stage);
-        let longest = ways.map(|next| ms_of(next) + self.ms_after(next, ms_of));
+        let paths = self.dependents(stage);
+        let longest = paths.map(|next| ms_of(next) + self.ms_after(next, ms_of));
         longest.max().unwrap_or(0)
     }
 }
--- a/crates/stages/src/lib.rs
+++ b/crates/stages/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decisions on the stages that come before a request: which pieces may
-//! start ([`graph`]), and which pieces share a call to which worker ([`batch`]).
+//! Scheduling of the stages that run before a request: [`graph`] determines which pieces
+//! can start, [`batch`] groups pieces into calls and assigns the calls to workers.
 //!
-//! Both are plain state machines: facts and times go in, decisions come out.
-//! Calls to workers are made by whoever owns these machines.
+//! Both are state machines without I/O: events and times go in, decisions come out. Their
+//! owners make the calls to workers.
 
 pub mod batch;
 pub mod graph;
--- a/crates/stages/tests/suite/batch.rs
+++ b/crates/stages/tests/suite/batch.rs
@@ -1,4 +1,4 @@
-//! Which pieces share a call, and to whom it goes.
+//! Tests for batching: which pieces share a call, and which worker gets it.
 
 use hollowsail_stages::{
     BatchQueue, CallEnd, GroupKey, HallKey, Halls, PieceKey, PieceOrder, PoolRules, StartedCall,
@@ -43,7 +43,7 @@
     jobs.copied().collect()
 }
 
-/// Makes every piece of a call.
+/// Completes every piece of a call and releases the results.
 fn finish(queue: &mut BatchQueue<u64>, call: &StartedCall, now: u64) {
     for piece in &call.pieces {
         queue.finish(piece.key);
@@ -52,8 +52,8 @@
     queue.end_call(call.call, CallEnd::Answered, now);
 }
 
-/// The same where the results stay at the worker.
-fn finish_kept(queue: &mut BatchQueue<u64>, call: &StartedCall, now: u64) {
+/// Completes every piece of a call; the worker retains the results.
+fn finish_retaining_results(queue: &mut BatchQueue<u64>, call: &StartedCall, now: u64) {
     for piece in &call.pieces {
         queue.finish(piece.key);
     }
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn pieces_of_several_requests_share_a_call() {
+fn requests_share_a_call() {
     let mut queue = BatchQueue::new(rules());
     queue.add_worker(HERE);
     push(&mut queue, order(1), 2);
@@ -71,12 +71,12 @@
     assert_eq!(groups(&queue, &call), [1, 1, 2, 2]);
     assert!(queue.next_call(0).is_none(), "one call at a time");
     finish(&mut queue, &call, 140);
-    let call = queue.next_call(140).expect("it is free again");
+    let call = queue.next_call(140).expect("the worker is free again");
     assert_eq!(groups(&queue, &call), [3]);
 }
 
 #[test]
-fn the_urgent_go_first_and_the_late_after_those_in_time() {
+fn urgent_pieces_first_late_pieces_last() {
     let mut queue = BatchQueue::new(PoolRules {
         batch: 1,
         ..rules()
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_late_piece_that_holds_memory_elsewhere_does_not_wait_behind_others() {
+fn late_piece_holding_inputs_goes_first() {
     let mut queue = BatchQueue::new(PoolRules {
         batch: 1,
         ..rules()
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_group_whose_results_are_large_is_not_torn() {
+fn large_group_is_not_split() {
     let mut queue = BatchQueue::new(rules());
     queue.add_worker(HERE);
     let large = |group| PieceOrder {
@@ -134,12 +134,12 @@
     assert_eq!(
         groups(&queue, &call),
         [1, 1],
-        "600 kB of 950; two more have no room"
+        "600 kB of 950 kB are used; 600 kB more don't fit"
     );
 }
 
 #[test]
-fn memory_that_comes_free_is_kept_for_the_group_at_the_head() {
+fn released_memory_is_reserved_for_first_group() {
     let mut queue = BatchQueue::new(PoolRules {
         running: 2,
         ..rules()
@@ -150,7 +150,7 @@
         ..order(group)
     };
     push(&mut queue, large(1), 2);
-    let first = queue.next_call(0).expect("it fits");
+    let first = queue.next_call(0).expect("the group fits");
     push(&mut queue, large(2), 2);
     push(
         &mut queue,
@@ -161,73 +161,83 @@
         1,
     );
     push(&mut queue, order(4), 1);
-    let second = queue.next_call(0).expect("small ones pass");
+    let second = queue.next_call(0).expect("a small result fits");
     assert_eq!(
         groups(&queue, &second),
         [4],
-        "not 3, which would take the head's room"
+        "group 3 would take memory reserved for group 2"
     );
     finish(&mut queue, &second, 10);
     finish(&mut queue, &first, 100);
-    let third = queue.next_call(100).expect("there is room");
+    let third = queue.next_call(100).expect("there is enough memory");
     assert_eq!(groups(&queue, &third)[..2], [2, 2]);
 }
 
-/// Two workers whose memory is half full, one a little less: a group that fits at
-/// neither, and one behind it that would fit at both.
+/// Two workers with about half of their memory free; the first group fits at neither, the
+/// one behind it at both.
 #[test]
-fn memory_is_kept_for_the_head_at_the_worker_that_has_most_of_it() {
+fn memory_is_reserved_at_roomiest_worker_only() {
     let mut queue = BatchQueue::new(PoolRules {
         running: 2,
         ..rules()
     });
-    let of = |group, result_bytes| PieceOrder {
+    let sized = |group, result_bytes| PieceOrder {
         result_bytes,
         ..order(group)
     };
     let roomier = queue.add_worker(HERE);
-    push(&mut queue, of(1, 400_000), 1);
-    queue.next_call(0).expect("it fits");
+    push(&mut queue, sized(1, 400_000), 1);
+    queue.next_call(0).expect("the group fits");
     let other = queue.add_worker(HERE);
-    push(&mut queue, of(2, 500_000), 1);
-    let second = queue.next_call(0).expect("the idle one is less burdened");
+    push(&mut queue, sized(2, 500_000), 1);
+    let second = queue
+        .next_call(0)
+        .expect("the idle worker has the lower score");
     assert_eq!(second.worker, other);
-    push(&mut queue, of(3, 350_000), 2);
-    push(&mut queue, of(4, 300_000), 1);
-    let third = queue.next_call(0).expect("4 passes where 3 will fit last");
+    push(&mut queue, sized(3, 350_000), 2);
+    push(&mut queue, sized(4, 300_000), 1);
+    let third = queue
+        .next_call(0)
+        .expect("group 4 goes where nothing is reserved for group 3");
     assert_eq!(third.worker, other);
     assert_eq!(groups(&queue, &third), [4]);
-    assert!(queue.next_call(0).is_none(), "3 has the other's memory");
+    assert!(
+        queue.next_call(0).is_none(),
+        "the other worker's memory is reserved for group 3"
+    );
     queue.free(roomier, 400_000);
-    let fourth = queue.next_call(1).expect("there is room");
+    let fourth = queue.next_call(1).expect("there is enough memory");
     assert_eq!(groups(&queue, &fourth), [3, 3]);
 }
 
 #[test]
-fn memory_is_not_left_to_a_worker_that_fails() {
+fn failing_worker_reserves_no_memory() {
     let mut queue = BatchQueue::new(rules());
     queue.add_worker(HERE);
     push(&mut queue, order(1), 1);
     let failed = queue.next_call(0).expect("a worker is free");
     queue.end_call(failed.call, CallEnd::Failed, 5);
-    let works = queue.add_worker(HERE);
+    let working = queue.add_worker(HERE);
     let large = |group, result_bytes| PieceOrder {
         result_bytes,
         ..order(group)
     };
     push(&mut queue, large(2, 600_000), 1);
-    let first = queue.next_call(10).expect("the other one is free");
-    finish_kept(&mut queue, &first, 20);
+    let first = queue.next_call(10).expect("the other worker is free");
+    finish_retaining_results(&mut queue, &first, 20);
     push(&mut queue, large(3, 300_000), 2);
     push(&mut queue, large(4, 300_000), 1);
-    assert!(queue.next_call(30).is_none(), "its memory is for 3");
-    queue.free(works, 600_000);
-    let next = queue.next_call(40).expect("there is room");
+    assert!(
+        queue.next_call(30).is_none(),
+        "the memory is reserved for group 3"
+    );
+    queue.free(working, 600_000);
+    let next = queue.next_call(40).expect("there is enough memory");
     assert_eq!(groups(&queue, &next), [3, 3, 4]);
 }
 
 #[test]
-fn a_full_worker_gets_small_results_for_a_while() {
+fn full_worker_gets_only_small_results() {
     let mut queue = BatchQueue::new(rules());
     let worker = queue.add_worker(HERE);
     queue.no_room(worker, 0);
@@ -243,63 +253,67 @@
     assert!(queue.next_call(100).is_some());
 }
 
-/// A queue with a piece that is wanted here, where a worker is busy until 110 ms, and
-/// an idle worker in another hall.
-fn wanted_here(due: u64) -> (BatchQueue<u64>, StartedCall, WorkerKey) {
+/// A queue with a piece that prefers `HERE`, where the worker is busy until 110 ms, and an
+/// idle worker `THERE`.
+fn queue_with_preferred_hall(due: u64) -> (BatchQueue<u64>, StartedCall, WorkerKey) {
     let mut queue = BatchQueue::new(rules());
     queue.add_worker(HERE);
     push(&mut queue, order(9), 1);
     let busy = queue.next_call(0).expect("a worker is free");
-    let far = queue.add_worker(THERE);
-    let wanted = PieceOrder {
+    let remote = queue.add_worker(THERE);
+    let preferring_here = PieceOrder {
         hall: Some(HERE),
         due,
         ..order(1)
     };
-    push(&mut queue, wanted, 1);
-    (queue, busy, far)
+    push(&mut queue, preferring_here, 1);
+    (queue, busy, remote)
 }
 
 #[test]
-fn results_wait_a_while_for_a_worker_of_their_hall_while_they_can_be_in_time() {
-    // A whole call takes 140 ms: the second would be late from 160 ms on.
-    for (due, until) in [(1_000, 300), (300, 160)] {
-        let (mut queue, _busy, far) = wanted_here(due);
-        assert!(queue.next_call(until - 1).is_none(), "due {due}");
-        let call = queue.next_call(until).expect("long enough");
-        assert_eq!(call.worker, far, "due {due}");
+fn piece_waits_for_preferred_hall_until_limit() {
+    // A whole call takes 140 ms, so with `due` 300 the piece is late from 160 ms on.
+    for (due, start) in [(1_000, 300), (300, 160)] {
+        let (mut queue, _busy, remote) = queue_with_preferred_hall(due);
+        assert!(queue.next_call(start - 1).is_none(), "due {due}");
+        let call = queue.next_call(start).expect("the wait has ended");
+        assert_eq!(call.worker, remote, "due {due}");
     }
-    let (mut queue, busy, _far) = wanted_here(1_000);
+    let (mut queue, busy, _remote) = queue_with_preferred_hall(1_000);
     finish(&mut queue, &busy, 110);
-    let call = queue.next_call(110).expect("its hall's worker is free");
+    let call = queue
+        .next_call(110)
+        .expect("the preferred hall's worker is free");
     assert_eq!(call.worker, busy.worker);
 }
 
 #[test]
-fn results_wait_for_no_worker_that_comes_too_late() {
-    let (mut queue, _busy, far) = wanted_here(0);
-    let call = queue.next_call(0).expect("60 ms are all that it may wait");
-    assert_eq!(call.worker, far);
+fn piece_skips_wait_for_unavailable_hall() {
+    let (mut queue, _busy, remote) = queue_with_preferred_hall(0);
+    let call = queue.next_call(0).expect("the wait is at most 60 ms");
+    assert_eq!(call.worker, remote);
 
-    let (mut queue, busy, far) = wanted_here(1_000);
+    let (mut queue, busy, remote) = queue_with_preferred_hall(1_000);
     assert!(queue.next_call(0).is_none());
     queue.remove_worker(busy.worker);
-    let call = queue.next_call(1).expect("the hall's worker leaves");
-    assert_eq!(call.worker, far);
+    let call = queue.next_call(1).expect("the hall's worker is draining");
+    assert_eq!(call.worker, remote);
 
-    let (mut queue, busy, far) = wanted_here(1_000);
+    let (mut queue, busy, remote) = queue_with_preferred_hall(1_000);
     queue.end_call(busy.call, CallEnd::Failed, 10);
-    let call = queue.next_call(11).expect("the hall's worker rests");
-    assert_eq!(call.worker, far);
+    let call = queue
+        .next_call(11)
+        .expect("the hall's worker is backing off");
+    assert_eq!(call.worker, remote);
 
-    let (mut queue, _busy, far) = wanted_here(1_000);
+    let (mut queue, _busy, remote) = queue_with_preferred_hall(1_000);
     assert_eq!(queue.take_overdue(290).len(), 1);
     let call = queue.next_call(290).expect("the hall's worker is overdue");
-    assert_eq!(call.worker, far);
+    assert_eq!(call.worker, remote);
 }
 
 #[test]
-fn an_overdue_call_frees_its_pieces_for_others_and_the_first_result_counts() {
+fn overdue_pieces_requeue_and_first_result_wins() {
     let mut queue = BatchQueue::new(rules());
     queue.add_worker(HERE);
     push(&mut queue, order(1), 1);
@@ -307,10 +321,14 @@
     let other = queue.add_worker(HERE);
     assert!(queue.take_overdue(200).is_empty());
     assert_eq!(queue.take_overdue(400), [slow.worker]);
-    let second = queue.next_call(400).expect("it waits again");
+    let second = queue.next_call(400).expect("the piece was queued again");
     assert_eq!(second.worker, other);
     assert_eq!(queue.finish(second.pieces[0].key), Some(1));
-    assert_eq!(queue.finish(slow.pieces[0].key), None, "it ended before");
+    assert_eq!(
+        queue.finish(slow.pieces[0].key),
+        None,
+        "the piece was finished before"
+    );
     assert!(queue
         .end_call(second.call, CallEnd::Answered, 510)
         .is_empty());
@@ -318,7 +336,7 @@
 }
 
 #[test]
-fn a_slow_worker_is_only_tried_now_and_then() {
+fn slow_worker_is_probed_at_intervals() {
     let mut queue = BatchQueue::new(rules());
     let slow = queue.add_worker(HERE);
     push(&mut queue, order(1), 1);
@@ -327,48 +345,51 @@
     push(&mut queue, order(2), 1);
     push(&mut queue, order(3), 1);
     assert!(queue.next_call(901).is_none());
-    let call = queue.next_call(1_800).expect("it is tried");
+    let call = queue.next_call(1_800).expect("the worker is probed");
     assert_eq!((call.worker, groups(&queue, &call)), (slow, vec![2]));
 }
 
 #[test]
-fn pieces_of_a_failed_call_are_given_back_and_a_leaving_worker_gets_nothing() {
+fn failed_call_returns_pieces_drained_gets_none() {
     let mut queue = BatchQueue::new(rules());
     let worker = queue.add_worker(HERE);
     let pieces = push(&mut queue, order(1), 2);
     let call = queue.next_call(0).expect("a worker is free");
     assert_eq!(queue.end_call(call.call, CallEnd::Failed, 50), pieces);
     pieces.iter().for_each(|piece| queue.requeue(*piece));
-    assert!(queue.next_call(60).is_none(), "it is out for a while");
+    assert!(queue.next_call(60).is_none(), "the worker is backing off");
     queue.remove_worker(worker);
     assert!(queue.next_call(10_000).is_none());
 }
 
 #[test]
-fn a_queue_that_passes_on_takes_what_is_not_begun_along() {
+fn handover_takes_waiting_pieces_and_state() {
     let mut queue = BatchQueue::new(rules());
     let worker = queue.add_worker(HERE);
     push(&mut queue, order(1), 4);
     let call = queue.next_call(0).expect("a worker is free");
     let waiting = push(&mut queue, order(2), 2);
     assert_eq!(queue.take_waiting(), waiting);
-    let known = WorkerState {
+    let state = WorkerState {
         held_bytes: 4_000,
         busy_ms: 100,
         slowness: 1.0,
     };
-    assert_eq!(queue.worker_state(worker, 40), Some(known));
+    assert_eq!(queue.worker_state(worker, 40), Some(state));
     let mut next: BatchQueue<u64> = BatchQueue::new(rules());
-    let same = next.add_worker(HERE);
-    next.take_over(same, &known, 40);
+    let worker = next.add_worker(HERE);
+    next.take_over(worker, &state, 40);
     push(&mut next, order(2), 2);
-    assert!(next.next_call(100).is_none(), "the call before still runs");
+    assert!(
+        next.next_call(100).is_none(),
+        "the previous owner's call still runs"
+    );
     assert!(next.next_call(140).is_some());
     finish(&mut queue, &call, 140);
 }
 
 #[test]
-fn the_load_tells_what_goes_before_a_priority() {
+fn load_counts_pieces_ahead_by_priority() {
     let mut queue = BatchQueue::new(rules());
     queue.add_worker(HERE);
     push(&mut queue, order(1), 4);
@@ -398,8 +419,8 @@
 }
 
 #[test]
-fn room_that_is_free_soon_again_makes_more_at_a_time() {
-    // A worker has room for four results of this size, and a whole call is 140 ms.
+fn shorter_retention_increases_slots() {
+    // A worker has memory for four results of this size; a whole call takes 140 ms.
     let large = PieceOrder {
         result_bytes: 250_000,
         ..order(1)
@@ -410,40 +431,42 @@
     let slots = |queue: &BatchQueue<u64>| queue.load(0).slots;
     assert!(
         (slots(&queue) - 4.0 / 1.5).abs() < 0.01,
-        "before any is seen"
+        "no retention observed yet"
     );
     queue.record_stay(250_000, 280);
     assert!(
         (slots(&queue) - 2.0).abs() < 0.01,
-        "each stays for two calls"
+        "each result is retained for two calls"
     );
     for _ in 0..1_000 {
         queue.record_stay(250_000, 140);
         queue.record_stay(100, 100_000);
     }
-    assert!(slots(&queue) > 3.0, "what is small matters little");
+    assert!(slots(&queue) > 3.0, "small results have little weight");
 }
 
 #[test]
-fn a_slow_worker_is_only_tried_by_the_next_owner_too() {
+fn slowness_survives_change_of_owner() {
     let mut queue = BatchQueue::new(rules());
     let worker = queue.add_worker(HERE);
     push(&mut queue, order(1), 1);
-    let call = queue.next_call(0).expect("it is free");
+    let call = queue.next_call(0).expect("the worker is free");
     finish(&mut queue, &call, 900);
-    let known = queue.worker_state(worker, 2_000).expect("it is there");
+    let state = queue
+        .worker_state(worker, 2_000)
+        .expect("the worker exists");
     let mut next = BatchQueue::new(rules());
-    let same = next.add_worker(HERE);
-    next.take_over(same, &known, 2_000);
+    let worker = next.add_worker(HERE);
+    next.take_over(worker, &state, 2_000);
     push(&mut next, order(2), 1);
     push(&mut next, order(3), 2);
-    let trial = next.next_call(2_000).expect("its turn");
-    assert_eq!(groups(&next, &trial), [2], "one group, not a batch");
+    let probe = next.next_call(2_000).expect("the worker is probed");
+    assert_eq!(groups(&next, &probe), [2], "one group, not a batch");
 }
 
-/// The groups of the first two calls of an idle worker, for a piece of priority 0 that
-/// is due then, and one of priority 2. A whole call takes 140 ms.
-fn first_two(due: u64, due_of_the_less_urgent: u64) -> [u64; 2] {
+/// Groups of the first two calls of an idle worker, for a piece of priority 0 that is due
+/// at `due` and one of priority 2. A whole call takes 140 ms.
+fn first_two_groups(due: u64, low_priority_due: u64) -> [u64; 2] {
     let mut queue = BatchQueue::new(PoolRules {
         batch: 1,
         call_ms: 130.0,
@@ -456,55 +479,63 @@
         ..order(group)
     };
     push(&mut queue, piece(1, 0, due), 1);
-    push(&mut queue, piece(2, 2, due_of_the_less_urgent), 1);
+    push(&mut queue, piece(2, 2, low_priority_due), 1);
     [0, 140].map(|now| {
         let call = queue.next_call(now).expect("the worker is free");
-        let made = groups(&queue, &call);
+        let called = groups(&queue, &call);
         finish(&mut queue, &call, now + 140);
-        made[0]
+        called[0]
     })
 }
 
 #[test]
-fn what_can_wait_for_a_call_lets_the_less_urgent_go_that_cannot() {
-    assert_eq!(first_two(300, 200), [2, 1]);
-    assert_eq!(first_two(200, 200), [1, 2], "neither can wait");
-    assert_eq!(first_two(300, 300), [1, 2], "both can");
-    assert_eq!(first_two(300, 100), [1, 2], "the other one is late already");
+fn group_that_can_wait_yields_to_one_that_cannot() {
+    assert_eq!(first_two_groups(300, 200), [2, 1]);
+    assert_eq!(first_two_groups(200, 200), [1, 2], "neither can wait");
+    assert_eq!(first_two_groups(300, 300), [1, 2], "both can wait");
+    assert_eq!(
+        first_two_groups(300, 100),
+        [1, 2],
+        "the other is already late"
+    );
 }
 
 #[test]
-fn pieces_that_go_alone_share_a_call_with_their_own_group_only() {
+fn isolated_group_shares_no_call() {
     let mut queue = BatchQueue::new(rules());
     queue.add_worker(HERE);
     push(&mut queue, order(1), 1);
-    let alone = push(&mut queue, order(2), 2);
+    let isolated = push(&mut queue, order(2), 2);
     push(&mut queue, order(3), 1);
-    queue.set_alone(alone[0]);
+    queue.set_alone(isolated[0]);
     let call = queue.next_call(0).expect("a worker is free");
-    assert_eq!(groups(&queue, &call), [1, 3], "the others go on together");
+    assert_eq!(
+        groups(&queue, &call),
+        [1, 3],
+        "the other groups share a call"
+    );
     finish(&mut queue, &call, 120);
-    let call = queue.next_call(120).expect("it is free again");
+    let call = queue.next_call(120).expect("the worker is free again");
     assert_eq!(groups(&queue, &call), [2, 2]);
 }
 
 #[test]
-fn pieces_that_go_alone_have_one_call_at_a_time() {
+fn isolated_group_has_one_call_at_a_time() {
     let mut queue = BatchQueue::new(rules());
     queue.add_worker(HERE);
     queue.add_worker(HERE);
-    let alone = push(&mut queue, order(1), 6);
-    queue.set_alone(alone[0]);
+    let isolated = push(&mut queue, order(1), 6);
+    queue.set_alone(isolated[0]);
     let call = queue.next_call(0).expect("a worker is free");
-    assert_eq!(call.pieces.len(), 4, "a whole call");
-    assert!(queue.next_call(0).is_none(), "the rest waits for it");
+    assert_eq!(call.pieces.len(), 4, "a whole batch");
+    assert!(queue.next_call(0).is_none(), "the rest of the group waits");
     finish(&mut queue, &call, 140);
-    let call = queue.next_call(140).expect("it has ended");
+    let call = queue.next_call(140).expect("the first call has ended");
     assert_eq!(call.pieces.len(), 2);
 }
 
 #[test]
-fn pieces_of_a_worker_that_ended_are_made_alone_from_then_on() {
+fn pieces_of_crashed_worker_run_isolated() {
     let mut queue = BatchQueue::new(rules());
     queue.add_worker(HERE);
     queue.add_worker(HERE);
@@ -517,12 +548,12 @@
         queue.set_alone(piece);
         queue.requeue(piece);
     }
-    let call = queue.next_call(50).expect("the other one is free");
+    let call = queue.next_call(50).expect("the other worker is free");
     assert_eq!(groups(&queue, &call), [1]);
 }
 
 #[test]
-fn a_piece_is_made_only_in_the_halls_where_it_may_be() {
+fn piece_runs_only_in_allowed_halls() {
     let mut queue = BatchQueue::new(rules());
     queue.add_worker(HERE);
     let only_there = PieceOrder {
@@ -531,20 +562,20 @@
         ..order(1)
     };
     push(&mut queue, only_there, 2);
-    assert!(queue.next_call(0).is_none(), "no worker may make it");
+    assert!(queue.next_call(0).is_none(), "no worker in an allowed hall");
     assert!(
         queue.next_call(9_000).is_none(),
-        "nor does waiting allow it"
+        "waiting doesn't change that"
     );
     let there = queue.add_worker(THERE);
-    let call = queue.next_call(9_000).expect("a worker may make it");
+    let call = queue.next_call(9_000).expect("a worker in an allowed hall");
     assert_eq!((call.worker, call.pieces.len()), (there, 2));
 }
 
 #[test]
-fn some_halls_are_told_apart_and_a_number_beyond_goes_nowhere() {
-    let some = Halls::only([HERE, HallKey(127), HallKey(128)]);
-    assert!(some.contain(HERE) && some.contain(HallKey(127)));
-    assert!(!some.contain(THERE) && !some.contain(HallKey(128)));
+fn hall_set_excludes_numbers_above_127() {
+    let halls = Halls::only([HERE, HallKey(127), HallKey(128)]);
+    assert!(halls.contain(HERE) && halls.contain(HallKey(127)));
+    assert!(!halls.contain(THERE) && !halls.contain(HallKey(128)));
     assert!(Halls::ALL.contain(HallKey(128)));
 }
--- a/crates/stages/tests/suite/graph.rs
+++ b/crates/stages/tests/suite/graph.rs
@@ -1,116 +1,131 @@
-//! What may start, and what it starts from.
+//! Tests for the stage graph: what can start, and from which inputs.
 
 use hollowsail_stages::{PieceAt, StageGraph, StageSize};
 
-fn size(pieces: usize, after: &[usize]) -> StageSize {
+fn spec(pieces: usize, after: &[usize]) -> StageSize {
     StageSize {
         pieces,
         after: after.to_vec(),
     }
 }
 
-fn at(stage: usize, piece: usize) -> PieceAt {
+fn piece_at(stage: usize, piece: usize) -> PieceAt {
     PieceAt { stage, piece }
 }
 
-/// Two pieces, then three from them, then one from those.
+/// Three stages in a row with two, three and one pieces.
 fn chain() -> StageGraph {
-    StageGraph::new(vec![size(2, &[]), size(3, &[0]), size(1, &[1])])
+    StageGraph::new(vec![spec(2, &[]), spec(3, &[0]), spec(1, &[1])])
 }
 
-fn make_all(graph: &mut StageGraph) {
+fn complete_ready(graph: &mut StageGraph) {
     for ready in graph.start_ready() {
         graph.made(ready, format!("w/{}-{}", ready.stage, ready.piece));
     }
 }
 
 #[test]
-fn a_stage_starts_when_all_that_it_needs_is_made() {
+fn stage_starts_when_dependencies_complete() {
     let mut graph = chain();
-    assert_eq!(graph.start_ready(), [at(0, 0), at(0, 1)]);
+    assert_eq!(graph.start_ready(), [piece_at(0, 0), piece_at(0, 1)]);
     assert!(
         graph.start_ready().is_empty(),
-        "each piece is handed out once"
+        "each piece is returned once"
     );
-    graph.made(at(0, 0), "a".into());
+    graph.made(piece_at(0, 0), "a".into());
     assert!(graph.start_ready().is_empty());
-    graph.made(at(0, 1), "b".into());
-    assert_eq!(graph.start_ready(), [at(1, 0), at(1, 1), at(1, 2)]);
+    graph.made(piece_at(0, 1), "b".into());
+    assert_eq!(
+        graph.start_ready(),
+        [piece_at(1, 0), piece_at(1, 1), piece_at(1, 2)]
+    );
     assert_eq!(graph.inputs_of(1), ["a", "b"]);
 }
 
 #[test]
-fn the_request_starts_from_what_no_stage_needs() {
-    let mut graph = StageGraph::new(vec![size(1, &[]), size(1, &[]), size(2, &[1])]);
-    make_all(&mut graph);
-    make_all(&mut graph);
+fn final_inputs_are_results_without_dependents() {
+    let mut graph = StageGraph::new(vec![spec(1, &[]), spec(1, &[]), spec(2, &[1])]);
+    complete_ready(&mut graph);
+    complete_ready(&mut graph);
     assert!(graph.is_done());
     assert_eq!(graph.final_inputs(), ["w/0-0", "w/2-0", "w/2-1"]);
 }
 
 #[test]
-fn a_stage_without_pieces_is_left_out() {
-    let mut graph = StageGraph::new(vec![size(0, &[]), size(2, &[])]);
-    assert_eq!(graph.start_ready(), [at(1, 0), at(1, 1)]);
-    let none = StageGraph::new(vec![size(0, &[])]);
+fn empty_stage_is_skipped() {
+    let mut graph = StageGraph::new(vec![spec(0, &[]), spec(2, &[])]);
+    assert_eq!(graph.start_ready(), [piece_at(1, 0), piece_at(1, 1)]);
+    let none = StageGraph::new(vec![spec(0, &[])]);
     assert!(none.is_done() && none.final_inputs().is_empty());
 }
 
 #[test]
-fn results_are_spent_once_all_that_needs_them_is_made() {
+fn results_consumed_when_dependents_complete() {
     let mut graph = chain();
-    make_all(&mut graph);
+    complete_ready(&mut graph);
     assert!(graph.take_spent().is_empty());
-    make_all(&mut graph);
+    complete_ready(&mut graph);
     assert_eq!(graph.take_spent(), ["w/0-0", "w/0-1"]);
-    assert!(graph.take_spent().is_empty(), "each is told once");
-    make_all(&mut graph);
+    assert!(
+        graph.take_spent().is_empty(),
+        "each handle is returned once"
+    );
+    complete_ready(&mut graph);
     assert_eq!(graph.take_spent().len(), 3);
     assert_eq!(
         graph.final_inputs(),
         ["w/2-0"],
-        "what the request needs isn't spent"
+        "final results aren't consumed"
     );
 }
 
 #[test]
-fn lost_inputs_are_made_again_with_what_was_spent_before_them() {
+fn lost_inputs_reset_consumed_dependencies() {
     let mut graph = chain();
-    make_all(&mut graph);
-    make_all(&mut graph);
+    complete_ready(&mut graph);
+    complete_ready(&mut graph);
     graph.take_spent();
     let started = graph.start_ready();
-    assert_eq!(started, [at(2, 0)]);
-    let used = graph.inputs_of(2);
-    graph.lose(at(2, 0));
-    let mut lost = graph.lose_inputs(2, &used);
+    assert_eq!(started, [piece_at(2, 0)]);
+    let inputs = graph.inputs_of(2);
+    graph.lose(piece_at(2, 0));
+    let mut lost = graph.lose_inputs(2, &inputs);
     lost.sort();
-    assert_eq!(lost, [at(0, 0), at(0, 1), at(1, 0), at(1, 1), at(1, 2)]);
+    assert_eq!(
+        lost,
+        [
+            piece_at(0, 0),
+            piece_at(0, 1),
+            piece_at(1, 0),
+            piece_at(1, 1),
+            piece_at(1, 2)
+        ]
+    );
     assert_eq!(
         graph.start_ready(),
-        [at(0, 0), at(0, 1)],
-        "from the first stage on"
+        [piece_at(0, 0), piece_at(0, 1)],
+        "restarts at the first stage"
     );
 }
 
 #[test]
-fn inputs_that_were_made_again_meanwhile_are_not_lost_twice() {
+fn replaced_inputs_are_not_reset_again() {
     let mut graph = chain();
-    make_all(&mut graph);
-    let used = graph.inputs_of(1);
+    complete_ready(&mut graph);
+    let inputs = graph.inputs_of(1);
     for piece in graph.start_ready() {
         graph.lose(piece);
     }
-    graph.lose_inputs(1, &used);
+    graph.lose_inputs(1, &inputs);
     for piece in graph.start_ready() {
         graph.made(piece, format!("again-{}", piece.piece));
     }
-    assert!(graph.lose_inputs(1, &used).is_empty());
+    assert!(graph.lose_inputs(1, &inputs).is_empty());
     assert_eq!(graph.inputs_of(1), ["again-0", "again-1"]);
 }
 
 #[test]
-fn the_time_after_a_stage_is_that_of_the_stages_up_to_the_request() {
+fn ms_after_sums_stages_up_to_the_request() {
     let graph = chain();
     let ms_of = |stage: usize| [1, 20, 300][stage];
     let after: Vec<u64> = (0..3).map(|stage| graph.ms_after(stage, &ms_of)).collect();
@@ -118,18 +133,24 @@
 }
 
 #[test]
-fn stages_that_only_the_request_needs_start_together() {
-    // A large result beside a chain of two.
-    let mut graph = StageGraph::new(vec![size(1, &[]), size(2, &[]), size(1, &[1])]);
-    assert_eq!(graph.start_ready(), [at(1, 0), at(1, 1)]);
-    graph.made(at(1, 0), "a".into());
-    assert!(graph.start_ready().is_empty(), "the chain isn't that far");
-    graph.made(at(1, 1), "b".into());
-    assert_eq!(graph.start_ready(), [at(0, 0), at(2, 0)]);
+fn final_stages_start_together() {
+    // One final stage beside a chain of two stages.
+    let mut graph = StageGraph::new(vec![spec(1, &[]), spec(2, &[]), spec(1, &[1])]);
+    assert_eq!(graph.start_ready(), [piece_at(1, 0), piece_at(1, 1)]);
+    graph.made(piece_at(1, 0), "a".into());
+    assert!(
+        graph.start_ready().is_empty(),
+        "the other final stage isn't ready"
+    );
+    graph.made(piece_at(1, 1), "b".into());
+    assert_eq!(graph.start_ready(), [piece_at(0, 0), piece_at(2, 0)]);
 }
 
 #[test]
-fn a_last_stage_without_pieces_keeps_no_other_waiting() {
-    let mut graph = StageGraph::new(vec![size(1, &[]), size(2, &[]), size(0, &[1])]);
-    assert_eq!(graph.start_ready(), [at(0, 0), at(1, 0), at(1, 1)]);
+fn empty_final_stage_delays_no_other() {
+    let mut graph = StageGraph::new(vec![spec(1, &[]), spec(2, &[]), spec(0, &[1])]);
+    assert_eq!(
+        graph.start_ready(),
+        [piece_at(0, 0), piece_at(1, 0), piece_at(1, 1)]
+    );
 }
--- a/crates/stages/tests/suite/limited.rs
+++ b/crates/stages/tests/suite/limited.rs
@@ -1,4 +1,4 @@
-//! Workers that name how many calls a second they take.
+//! Tests for workers with a rate limit.
 
 use hollowsail_routing::limit::SETTLED_AFTER_MS;
 use hollowsail_routing::LimitShare;
@@ -34,26 +34,26 @@
     queue.push(order, (), now);
 }
 
-/// Makes pieces for ten seconds, as many as go; the worker of each call. Every call takes
-/// 50 ms, and its result is given up at once.
-fn work(queue: &mut BatchQueue<()>, frees: bool) -> (Vec<WorkerKey>, usize) {
-    let (mut calls, mut freed, mut is_spent) = (Vec::new(), 0, false);
+/// Runs the queue for ten seconds; returns the worker of each call and the number of
+/// releases. Every call takes 50 ms, and its result memory is released at once.
+fn run_calls(queue: &mut BatchQueue<()>, with_releases: bool) -> (Vec<WorkerKey>, usize) {
+    let (mut calls, mut releases, mut release_pending) = (Vec::new(), 0, false);
     let mut running = Vec::new();
     for now in (0..10_000).step_by(10) {
         push(queue, now, now);
         running.retain(|(until, call, worker)| {
-            let is_over = *until <= now;
-            if is_over {
+            let has_ended = *until <= now;
+            if has_ended {
                 queue.end_call(*call, CallEnd::Answered, now);
                 queue.free(*worker, 1_000);
-                is_spent |= frees;
+                release_pending |= with_releases;
             }
-            !is_over
+            !has_ended
         });
-        if let Some(worker) = calls.last().filter(|_| is_spent) {
-            let begins = queue.begin_free(*worker, now);
-            freed += usize::from(begins);
-            is_spent = !begins;
+        if let Some(worker) = calls.last().filter(|_| release_pending) {
+            let allowed = queue.begin_free(*worker, now);
+            releases += usize::from(allowed);
+            release_pending = !allowed;
         }
         while let Some(started) = queue.next_call(now) {
             queue.finish(started.pieces[0].key);
@@ -61,39 +61,47 @@
             calls.push(started.worker);
         }
     }
-    (calls, freed)
+    (calls, releases)
 }
 
 #[test]
-fn a_limited_worker_gets_what_it_takes_and_the_others_the_rest() {
+fn limited_worker_gets_calls_at_its_limit() {
     let mut queue = queue();
-    let (limited, free) = (queue.add_worker(HERE), queue.add_worker(HERE));
+    let (limited, unlimited) = (queue.add_worker(HERE), queue.add_worker(HERE));
     queue.set_limit(limited, Some(2.0));
-    let (calls, _) = work(&mut queue, false);
-    let of = |worker| calls.iter().filter(|called| **called == worker).count();
-    assert!((18..=22).contains(&of(limited)), "{}", of(limited));
-    assert!(of(free) > 150, "{}", of(free));
+    let (calls, _) = run_calls(&mut queue, false);
+    let calls_to = |worker| calls.iter().filter(|called| **called == worker).count();
+    assert!(
+        (18..=22).contains(&calls_to(limited)),
+        "{}",
+        calls_to(limited)
+    );
+    assert!(calls_to(unlimited) > 150, "{}", calls_to(unlimited));
 }
 
 #[test]
-fn calls_that_give_results_up_count_and_leave_most_to_the_work() {
+fn releases_count_and_leave_most_calls_to_work() {
     let mut queue = queue();
     let limited = queue.add_worker(HERE);
     queue.set_limit(limited, Some(4.0));
-    let (calls, freed) = work(&mut queue, true);
-    assert!(calls.len() + freed <= 42, "{} and {freed}", calls.len());
-    assert!(calls.len() >= 28, "{} and {freed}", calls.len());
-    assert!(freed >= 4, "its memory is given up: {freed}");
+    let (calls, releases) = run_calls(&mut queue, true);
+    assert!(
+        calls.len() + releases <= 42,
+        "{} and {releases}",
+        calls.len()
+    );
+    assert!(calls.len() >= 28, "{} and {releases}", calls.len());
+    assert!(releases >= 4, "too few releases: {releases}");
 }
 
 #[test]
-fn whoever_judges_by_the_queue_hears_that_its_workers_are_limited() {
+fn load_slots_reflect_worker_limits() {
     let mut queue = queue();
     let worker = queue.add_worker(HERE);
     let before = queue.load(0).slots;
     queue.set_limit(worker, Some(2.0));
     let limited = queue.load(0).slots;
-    assert!(limited < before * 0.3, "{limited} of {before}");
+    assert!(limited < before * 0.3, "{limited} slots of {before}");
     queue.set_limit(worker, Some(300.0));
     assert_eq!(queue.load(0).slots, before);
 }
--- a/crates/stages/tests/suite/main.rs
+++ b/crates/stages/tests/suite/main.rs
@@ -1,4 +1,4 @@
-//! The pure machines of stages, by example and by fuzzing against simple rules.
+//! Example and property tests for the stage graph and the batch queue.
 
 mod batch;
 mod graph;
--- a/crates/stages/tests/suite/random_graph.rs
+++ b/crates/stages/tests/suite/random_graph.rs
@@ -1,4 +1,4 @@
-//! Random walks through random graphs, with results lost on the way.
+//! Property test: executes random stage graphs with randomly lost results.
 
 use std::collections::{HashMap, HashSet};
 
@@ -8,63 +8,64 @@
 fn sizes() -> impl Strategy<Value = Vec<StageSize>> {
     let stage = (1usize..4, any::<u8>());
     prop::collection::vec(stage, 1..5).prop_map(|stages| {
-        let needs = |at: usize, bits: u8| (0..at).filter(|bit| bits & (1 << bit) != 0).collect();
+        let dependencies =
+            |stage: usize, mask: u8| (0..stage).filter(|bit| mask & (1 << bit) != 0).collect();
         let sized = stages.into_iter().enumerate();
         sized
-            .map(|(at, (pieces, bits))| StageSize {
+            .map(|(stage, (pieces, mask))| StageSize {
                 pieces,
-                after: needs(at, bits),
+                after: dependencies(stage, mask),
             })
             .collect()
     })
 }
 
-/// A maker that keeps results until they are given up or lost.
+/// Workers that retain results until they are released or lost.
 #[derive(Default)]
-struct Makers {
-    kept: HashMap<String, PieceAt>,
-    made: u32,
+struct Workers {
+    retained: HashMap<String, PieceAt>,
+    completed: u32,
 }
 
 proptest! {
     #[test]
-    fn pieces_always_start_from_whole_sets_of_live_results(
+    fn inputs_are_complete_when_pieces_start(
         sizes in sizes(),
         choices in prop::collection::vec((any::<u16>(), 0u8..10), 1..400),
     ) {
         let mut graph = StageGraph::new(sizes.clone());
-        let mut makers = Makers::default();
+        let mut workers = Workers::default();
         let mut running: Vec<(PieceAt, Vec<String>)> = Vec::new();
         let mut choices = choices.into_iter();
         while !graph.is_done() {
-            for at in graph.start_ready() {
-                let inputs = graph.inputs_of(at.stage);
-                let needed: usize = sizes[at.stage].after.iter().map(|&s| sizes[s].pieces).sum();
+            for piece in graph.start_ready() {
+                let inputs = graph.inputs_of(piece.stage);
+                let needed: usize = sizes[piece.stage].after.iter().map(|&s| sizes[s].pieces).sum();
                 let distinct: HashSet<_> = inputs.iter().collect();
-                prop_assert_eq!(distinct.len(), needed, "all of them, each once");
+                prop_assert_eq!(distinct.len(), needed, "every input exactly once");
                 prop_assert!(inputs.iter().all(|input| !input.is_empty()));
-                running.push((at, inputs));
+                running.push((piece, inputs));
             }
-            prop_assert!(!running.is_empty(), "something can always go on");
-            // With the choices used up nothing fails any more, so it ends.
-            let (pick, fate) = choices.next().unwrap_or((0, 9));
-            let (at, inputs) = running.swap_remove(usize::from(pick) % running.len());
-            if fate == 0 {
+            prop_assert!(!running.is_empty(), "no piece is running or ready");
+            // Once the choices are used up nothing fails, so the loop ends.
+            let (pick, fault) = choices.next().unwrap_or((0, 9));
+            let (piece, inputs) = running.swap_remove(usize::from(pick) % running.len());
+            if fault == 0 {
                 if let Some(handle) = inputs.first() {
-                    makers.kept.remove(handle);
+                    workers.retained.remove(handle);
                 }
             }
-            if inputs.iter().all(|input| makers.kept.contains_key(input)) {
-                makers.made += 1;
-                let handle = format!("h{}", makers.made);
-                makers.kept.insert(handle.clone(), at);
-                graph.made(at, handle);
-                for spent in graph.take_spent() {
-                    makers.kept.remove(&spent);
+            if inputs.iter().all(|input| workers.retained.contains_key(input)) {
+                workers.completed += 1;
+                let handle = format!("h{}", workers.completed);
+                workers.retained.insert(handle.clone(), piece);
+                graph.made(piece, handle);
+                for consumed in graph.take_spent() {
+                    workers.retained.remove(&consumed);
                 }
             } else {
-                graph.lose(at);
-                graph.lose_inputs(at.stage, &inputs);
+                graph.lose(piece);
+                graph.lose_inputs(piece.stage, &inputs);
             }
         }
         let inputs = graph.final_inputs();
--- a/crates/stages/tests/suite/random_queue.rs
+++ b/crates/stages/tests/suite/random_queue.rs
@@ -1,4 +1,4 @@
-//! Random events at a queue, against simple rules.
+//! Property test: random events on a batch queue, checked against its capacity rules.
 
 use std::collections::{HashMap, HashSet};
 
@@ -27,22 +27,22 @@
     },
     Call,
     End {
-        at: usize,
-        end: u8,
+        index: usize,
+        call_end: u8,
     },
-    GiveUp {
-        at: usize,
+    Cancel {
+        index: usize,
     },
     Free {
-        at: usize,
+        index: usize,
     },
     AddWorker {
         hall: u16,
     },
     RemoveWorker {
-        at: usize,
+        index: usize,
     },
-    Pass {
+    Advance {
         ms: u64,
     },
 }
@@ -65,12 +65,12 @@
     prop_oneof![
         4 => push,
         6 => Just(Event::Call),
-        4 => (any::<usize>(), 0u8..3).prop_map(|(at, end)| Event::End { at, end }),
-        1 => any::<usize>().prop_map(|at| Event::GiveUp { at }),
-        4 => any::<usize>().prop_map(|at| Event::Free { at }),
+        4 => (any::<usize>(), 0u8..3).prop_map(|(index, call_end)| Event::End { index, call_end }),
+        1 => any::<usize>().prop_map(|index| Event::Cancel { index }),
+        4 => any::<usize>().prop_map(|index| Event::Free { index }),
         1 => (0u16..2).prop_map(|hall| Event::AddWorker { hall }),
-        1 => any::<usize>().prop_map(|at| Event::RemoveWorker { at }),
-        3 => (1u64..400).prop_map(|ms| Event::Pass { ms }),
+        1 => any::<usize>().prop_map(|index| Event::RemoveWorker { index }),
+        3 => (1u64..400).prop_map(|ms| Event::Advance { ms }),
     ]
 }
 
@@ -78,32 +78,32 @@
 struct World {
     now: u64,
     workers: Vec<WorkerKey>,
-    gone: HashSet<WorkerKey>,
+    removed: HashSet<WorkerKey>,
     running: Vec<StartedCall>,
-    /// Results at workers that weren't given up.
-    held: Vec<(WorkerKey, u64)>,
-    open: HashMap<PieceKey, u64>,
+    /// Results at workers that weren't released yet.
+    unreleased: Vec<(WorkerKey, u64)>,
+    unfinished: HashMap<PieceKey, u64>,
 }
 
 proptest! {
     #[test]
-    fn calls_keep_to_the_rules_and_no_piece_is_lost(
+    fn calls_respect_limits_and_no_piece_is_lost(
         events in prop::collection::vec(event(), 1..300),
     ) {
         let mut queue: BatchQueue<u64> = BatchQueue::new(RULES);
         let mut world = World::default();
         world.workers.push(queue.add_worker(HallKey(0)));
         for event in events {
-            step(&mut queue, &mut world, event)?;
+            apply_event(&mut queue, &mut world, event)?;
         }
-        // Left to itself, with a fresh worker, everything is made.
-        for (worker, bytes) in world.held.drain(..) {
+        // Without further faults and with a new worker, every piece completes.
+        for (worker, bytes) in world.unreleased.drain(..) {
             queue.free(worker, bytes);
         }
         while let Some(call) = world.running.pop() {
-            end(&mut queue, &mut world, call, CallEnd::Answered);
+            end_call(&mut queue, &mut world, call, CallEnd::Answered);
         }
-        for (worker, bytes) in world.held.drain(..) {
+        for (worker, bytes) in world.unreleased.drain(..) {
             queue.free(worker, bytes);
         }
         queue.add_worker(HallKey(0));
@@ -111,21 +111,25 @@
             world.now += 200;
             queue.take_overdue(world.now);
             while let Some(call) = queue.next_call(world.now) {
-                end(&mut queue, &mut world, call, CallEnd::Answered);
-                for (worker, bytes) in world.held.drain(..) {
+                end_call(&mut queue, &mut world, call, CallEnd::Answered);
+                for (worker, bytes) in world.unreleased.drain(..) {
                     queue.free(worker, bytes);
                 }
             }
-            if world.open.is_empty() {
+            if world.unfinished.is_empty() {
                 break;
             }
         }
-        prop_assert!(world.open.is_empty(), "never made: {:?}", world.open);
+        prop_assert!(world.unfinished.is_empty(), "pieces never completed: {:?}", world.unfinished);
         prop_assert_eq!(queue.waiting(), 0);
     }
 }
 
-fn step(queue: &mut BatchQueue<u64>, world: &mut World, event: Event) -> Result<(), TestCaseError> {
+fn apply_event(
+    queue: &mut BatchQueue<u64>,
+    world: &mut World,
+    event: Event,
+) -> Result<(), TestCaseError> {
     match event {
         Event::Push {
             group,
@@ -146,7 +150,7 @@
             };
             for _ in 0..pieces {
                 let key = queue.push(order, group, world.now);
-                world.open.insert(key, bytes);
+                world.unfinished.insert(key, bytes);
             }
         }
         Event::Call => {
@@ -155,36 +159,37 @@
                 world.running.push(call);
             }
         }
-        Event::End { at, end: how } => {
+        Event::End { index, call_end } => {
             if !world.running.is_empty() {
-                let call = world.running.swap_remove(at % world.running.len());
-                let how = [CallEnd::Answered, CallEnd::Refused, CallEnd::Failed][usize::from(how)];
-                end(queue, world, call, how);
+                let call = world.running.swap_remove(index % world.running.len());
+                let call_end =
+                    [CallEnd::Answered, CallEnd::Refused, CallEnd::Failed][usize::from(call_end)];
+                end_call(queue, world, call, call_end);
             }
         }
-        Event::GiveUp { at } => {
-            let mut keys: Vec<PieceKey> = world.open.keys().copied().collect();
+        Event::Cancel { index } => {
+            let mut keys: Vec<PieceKey> = world.unfinished.keys().copied().collect();
             keys.sort();
             if !keys.is_empty() {
-                let key = keys[at % keys.len()];
+                let key = keys[index % keys.len()];
                 prop_assert!(queue.finish(key).is_some());
                 prop_assert!(queue.finish(key).is_none());
-                world.open.remove(&key);
+                world.unfinished.remove(&key);
             }
         }
-        Event::Free { at } => {
-            if !world.held.is_empty() {
-                let (worker, bytes) = world.held.swap_remove(at % world.held.len());
+        Event::Free { index } => {
+            if !world.unreleased.is_empty() {
+                let (worker, bytes) = world.unreleased.swap_remove(index % world.unreleased.len());
                 queue.free(worker, bytes);
             }
         }
         Event::AddWorker { hall } => world.workers.push(queue.add_worker(HallKey(hall))),
-        Event::RemoveWorker { at } => {
-            let worker = world.workers[at % world.workers.len()];
+        Event::RemoveWorker { index } => {
+            let worker = world.workers[index % world.workers.len()];
             queue.remove_worker(worker);
-            world.gone.insert(worker);
+            world.removed.insert(worker);
         }
-        Event::Pass { ms } => {
+        Event::Advance { ms } => {
             world.now += ms;
             queue.take_overdue(world.now);
         }
@@ -194,38 +199,44 @@
 
 fn check_call(world: &World, call: &StartedCall) -> Result<(), TestCaseError> {
     prop_assert!(!call.pieces.is_empty() && call.pieces.len() <= RULES.batch);
-    prop_assert!(!world.gone.contains(&call.worker), "a worker that left");
+    prop_assert!(
+        !world.removed.contains(&call.worker),
+        "call to a removed worker"
+    );
     let busy = world
         .running
         .iter()
         .any(|other| other.worker == call.worker);
-    prop_assert!(!busy, "one call at a time");
+    prop_assert!(!busy, "two calls at one worker");
     let distinct: HashSet<_> = call.pieces.iter().map(|piece| piece.key).collect();
     prop_assert_eq!(distinct.len(), call.pieces.len());
     prop_assert!(call
         .pieces
         .iter()
-        .all(|piece| world.open.contains_key(&piece.key)));
+        .all(|piece| world.unfinished.contains_key(&piece.key)));
     let at_worker = world
-        .held
+        .unreleased
         .iter()
         .filter(|(worker, _)| *worker == call.worker);
-    let held: u64 = at_worker.map(|(_, bytes)| bytes).sum();
-    let new: u64 = call.pieces.iter().map(|piece| piece.result_bytes).sum();
-    prop_assert!(held + new <= RULES.result_bytes, "{held} + {new} bytes");
+    let unreleased: u64 = at_worker.map(|(_, bytes)| bytes).sum();
+    let added: u64 = call.pieces.iter().map(|piece| piece.result_bytes).sum();
+    prop_assert!(
+        unreleased + added <= RULES.result_bytes,
+        "{unreleased} + {added} bytes"
+    );
     Ok(())
 }
 
-fn end(queue: &mut BatchQueue<u64>, world: &mut World, call: StartedCall, how: CallEnd) {
+fn end_call(queue: &mut BatchQueue<u64>, world: &mut World, call: StartedCall, call_end: CallEnd) {
     for piece in &call.pieces {
-        if how == CallEnd::Answered && queue.finish(piece.key).is_some() {
-            world.open.remove(&piece.key);
+        if call_end == CallEnd::Answered && queue.finish(piece.key).is_some() {
+            world.unfinished.remove(&piece.key);
         }
-        if how != CallEnd::Refused {
-            world.held.push((call.worker, piece.result_bytes));
+        if call_end != CallEnd::Refused {
+            world.unreleased.push((call.worker, piece.result_bytes));
         }
     }
-    for left in queue.end_call(call.call, how, world.now) {
-        queue.requeue(left);
+    for piece in queue.end_call(call.call, call_end, world.now) {
+        queue.requeue(piece);
     }
 }
