--- a/crates/fleet/src/accept.rs
+++ b/crates/fleet/src/accept.rs
@@ -1,61 +1,58 @@
-//! Accepting a configuration in the store, whatever answers are lost.
+//! Accepts a configuration in the store, although replies may be lost.
 //!
-//! [`Accept`] drives one apply: read the head, and if it is the one the
-//! operator based the apply on, replace it by compare-and-swap. A write whose
-//! answer is lost may have taken effect, may do so later, or never; reading the
-//! head back settles it, because the head names the apply ids of the latest
-//! revisions and a late write cannot replace a head that has moved.
+//! [`Accept`] replaces the head on which an apply is based by compare-and-swap. A write whose
+//! reply is lost may take effect at any later time; reading the head settles this, because the
+//! head lists the latest apply ids and a late write can't replace a head that has changed.
 
 use hollowsail_config::chunk::{FileEntry, Head};
 
-/// What to do in the store next.
+/// Next operation on the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AcceptStep {
     ReadHead,
-    /// Write the chunks, then this head over the version that was read
-    /// (`None`: only if absent).
+    /// Write the chunks, then replace version `over` by this head (`None`: only if there is
+    /// no head).
     WriteHead {
         over: Option<u64>,
         head: Head,
     },
 }
 
-/// What the store answered.
+/// The store's reply to an [`AcceptStep`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HeadAnswer {
-    /// The head and its version, or nothing yet.
+    /// The version and the head, or `None` before the first apply.
     Read(Option<(u64, Head)>),
     Written,
-    /// The head was not the version read before; nothing was written.
+    /// The head's version has changed since it was read; nothing was written.
     Moved,
-    /// Nothing was done.
+    /// The operation had no effect.
     NotDone,
-    /// No answer; a write may take effect, now or later.
+    /// No reply; a write may take effect, now or later.
     Lost,
 }
 
-/// How an apply ended.
+/// Outcome of an apply.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Accepted {
     /// Accepted as `revision`; `newest` is the latest head seen.
     Yes { revision: u64, newest: Box<Head> },
-    /// Certainly not accepted: this head came first.
+    /// Not accepted: another head replaced the base first.
     Conflict(Option<Box<Head>>),
-    /// Certainly not accepted: the store did not answer.
+    /// Not accepted: the store did not answer.
     Unavailable,
-    /// Perhaps accepted.
+    /// Possibly accepted.
     Unknown,
 }
 
-/// What an operator wants accepted.
+/// An operator's request to accept a configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Apply {
-    /// Revision that it is based on.
+    /// Revision on which the files are based.
     pub base: u64,
     pub apply_id: String,
     pub files: Vec<FileEntry>,
-    /// The same apply was sent before and its outcome is not known: a write of
-    /// that time may still arrive.
+    /// The apply was sent before with unknown outcome: that write may still take effect.
     pub resent: bool,
 }
 
@@ -64,17 +61,17 @@
 pub struct Accept {
     apply: Apply,
     step: AcceptStep,
-    tries_left: u32,
-    /// Some write may take effect although it was not answered.
+    retries_left: u32,
+    /// A write without a reply may take effect.
     in_doubt: bool,
 }
 
 impl Accept {
-    /// An apply that gives up after `tries` calls that were not answered.
-    pub fn new(apply: Apply, tries: u32) -> Self {
+    /// An apply that repeats unsuccessful operations at most `retries` times in total.
+    pub fn new(apply: Apply, retries: u32) -> Self {
         Accept {
             step: AcceptStep::ReadHead,
-            tries_left: tries,
+            retries_left: retries,
             in_doubt: apply.resent,
             apply,
         }
@@ -84,24 +81,24 @@
         &self.step
     }
 
-    /// Takes an answer to the present step; `Some` is the end.
-    pub fn answer(&mut self, answer: HeadAnswer) -> Option<Accepted> {
+    /// Handles the reply to the current step; returns `Some` when the apply has ended.
+    pub fn answer(&mut self, reply: HeadAnswer) -> Option<Accepted> {
         let step = std::mem::replace(&mut self.step, AcceptStep::ReadHead);
-        match (step, answer) {
-            (AcceptStep::ReadHead, HeadAnswer::Read(found)) => self.judge(found),
+        match (step, reply) {
+            (AcceptStep::ReadHead, HeadAnswer::Read(found)) => self.compare_head(found),
             (AcceptStep::WriteHead { head, .. }, HeadAnswer::Written) => Some(Accepted::Yes {
                 revision: head.revision,
                 newest: Box::new(head),
             }),
             (AcceptStep::WriteHead { .. }, HeadAnswer::Lost) => {
                 self.in_doubt = true;
-                self.try_again()
+                self.retry()
             }
-            _ => self.try_again(),
+            _ => self.retry(),
         }
     }
 
-    fn judge(&mut self, found: Option<(u64, Head)>) -> Option<Accepted> {
+    fn compare_head(&mut self, found: Option<(u64, Head)>) -> Option<Accepted> {
         let head = found.as_ref().map(|(_, head)| head);
         if let Some((revision, newest)) =
             head.and_then(|head| Some((head.revision_of(&self.apply.apply_id)?, head.clone())))
@@ -121,19 +118,19 @@
         None
     }
 
-    /// The head has moved past our base: a write of ours either stands among
-    /// the applies that it remembers, or never will.
+    /// The head is no longer the base. If it lists all applies since the base, a write of this
+    /// apply that isn't among them can never take effect.
     fn conflict(&self, head: Option<&Head>) -> Accepted {
-        let remembers = head.is_some_and(|head| head.remembers_from() <= self.apply.base + 1);
-        if self.in_doubt && !remembers {
+        let lists_all = head.is_some_and(|head| head.remembers_from() <= self.apply.base + 1);
+        if self.in_doubt && !lists_all {
             return Accepted::Unknown;
         }
         Accepted::Conflict(head.cloned().map(Box::new))
     }
 
-    fn try_again(&mut self) -> Option<Accepted> {
-        if self.tries_left > 0 {
-            self.tries_left -= 1;
+    fn retry(&mut self) -> Option<Accepted> {
+        if self.retries_left > 0 {
+            self.retries_left -= 1;
             return None;
         }
         Some(match self.in_doubt {
--- a/crates/fleet/src/standing.rs
+++ b/crates/fleet/src/connectivity.rs
@@ -1,34 +1,33 @@
-//! Whether this entry can know which configuration is in force.
+//! Decides whether this entry can know which configuration is in force.
 //!
-//! With the store down, peers that answer are enough: an apply needs the
-//! store, so nothing newer can have been accepted. With neither store nor any
-//! peer for a stated time this entry may be the one that is cut off, while the
-//! others run something newer; it then takes no new work.
+//! Contact with peers is sufficient while the store is down, because no configuration can be
+//! accepted without the store. An entry that reaches neither the store nor a peer may be
+//! partitioned from entries with a newer configuration, so it refuses new work.
 
 use crate::Millis;
 
-/// What an entry may do at this moment.
+/// Connectivity of an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Standing {
     /// No configuration yet.
     Starting,
-    /// Reaches the store or some peer.
+    /// Reaches the store or a peer.
     InTouch,
-    /// Reaches nobody; refuses new work.
+    /// Reaches neither the store nor a peer; refuses new work.
     Isolated,
 }
 
-/// Inputs of the rule.
+/// Derives the connectivity from the times of contact.
 #[derive(Debug, Clone, Copy)]
 pub struct StandingRule {
     /// Time without any contact until the entry is isolated.
     pub isolation_ms: Millis,
-    /// True when settings name neither a store nor seeds: nobody to reach.
+    /// The settings name neither a store nor seeds.
     pub alone_by_settings: bool,
 }
 
 impl StandingRule {
-    /// Judges the standing from the last moments of contact.
+    /// The connectivity at `now`, given the last contact with the store and with any peer.
     pub fn judge(
         &self,
         now: Millis,
--- /dev/null
+++ b/crates/fleet/src/evacuated_halls.rs
@@ -0,0 +1,126 @@
+//! Data halls that operators have evacuated; their targets get no new work.
+//!
+//! Each evacuated hall is a key in the store without a lease, so a missing key means that the
+//! hall was reinstated. A restored store may have lost keys: such a hall stays evacuated until
+//! it is confirmed, reinstated or dropped, because people may be working in it.
+
+use std::collections::BTreeMap;
+
+use serde::{Deserialize, Serialize};
+
+use crate::Position;
+
+/// The evacuated halls as of a position of the store.
+#[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct EmptiedHalls {
+    /// All changes up to this position are applied.
+    as_of: Position,
+    /// Each hall with the position at which it was evacuated. A position of an earlier epoch
+    /// than that of `as_of` is unconfirmed: the key hasn't been written again since.
+    halls: BTreeMap<String, Position>,
+    /// Halls evacuated in an earlier epoch and reinstated in this one, with the position of
+    /// the latter.
+    taken_back: BTreeMap<String, Position>,
+}
+
+impl EmptiedHalls {
+    /// Applies a complete list as of a position. True when the set of halls changed.
+    pub fn take_list(&mut self, as_of: Position, listed: Vec<(String, Position)>) -> bool {
+        if as_of < self.as_of {
+            return false;
+        }
+        let is_same_epoch = as_of.era == self.as_of.era;
+        let listed = EmptiedHalls {
+            as_of,
+            halls: listed.into_iter().collect(),
+            taken_back: match is_same_epoch {
+                true => std::mem::take(&mut self.taken_back),
+                false => BTreeMap::new(),
+            },
+        };
+        self.replace(listed)
+    }
+
+    /// Takes over another entry's state if it is newer. True when the set of halls changed.
+    pub fn adopt(&mut self, other: EmptiedHalls) -> bool {
+        other.as_of > self.as_of && self.replace(other)
+    }
+
+    /// Replaces the state by a newer one, but keeps halls that the store may have lost.
+    fn replace(&mut self, mut newer: EmptiedHalls) -> bool {
+        let is_lost = |hall: &String, since: &Position| {
+            since.era < newer.as_of.era && !newer.taken_back.contains_key(hall)
+        };
+        let lost: Vec<(String, Position)> = self
+            .halls
+            .iter()
+            .filter(|(hall, since)| is_lost(hall, since))
+            .map(|(hall, since)| (hall.clone(), *since))
+            .collect();
+        for (hall, since) in lost {
+            newer.halls.entry(hall).or_insert(since);
+        }
+        let changed = !self.halls.keys().eq(newer.halls.keys());
+        *self = newer;
+        changed
+    }
+
+    /// Applies the evacuation of a hall. True when the set of halls changed.
+    pub fn emptied(&mut self, hall: &str, at: Position) -> bool {
+        if at <= self.as_of {
+            return false;
+        }
+        self.taken_back.remove(hall);
+        self.halls.insert(hall.to_string(), at).is_none()
+    }
+
+    /// Applies the end of a hall's evacuation. True when the set of halls changed.
+    pub fn taken_back(&mut self, hall: &str, at: Position) -> bool {
+        let since = self.halls.get(hall).copied();
+        let Some(since) = since.filter(|since| at > self.as_of && at > *since) else {
+            return false;
+        };
+        if since.era < at.era {
+            self.taken_back.insert(hall.to_string(), at);
+        }
+        self.halls.remove(hall).is_some()
+    }
+
+    /// Removes the unconfirmed halls and returns their names.
+    pub fn drop_unwritten(&mut self) -> Vec<String> {
+        let epoch = self.as_of.era;
+        let unconfirmed: Vec<String> = self.unconfirmed().map(str::to_string).collect();
+        self.halls.retain(|_, since| since.era >= epoch);
+        unconfirmed
+    }
+
+    /// Halls whose keys haven't been written again since the store was restored without them.
+    pub fn unconfirmed(&self) -> impl Iterator<Item = &str> {
+        let epoch = self.as_of.era;
+        let unconfirmed = self
+            .halls
+            .iter()
+            .filter(move |(_, since)| since.era < epoch);
+        unconfirmed.map(|(hall, _)| hall.as_str())
+    }
+
+    /// Records that all changes up to a position are applied.
+    pub fn told_until(&mut self, at: Position) {
+        self.as_of = self.as_of.max(at);
+    }
+
+    /// The position up to which all changes are applied.
+    pub fn as_of(&self) -> Position {
+        self.as_of
+    }
+
+    /// True when a hall is evacuated.
+    pub fn contains(&self, hall: &str) -> bool {
+        self.halls.contains_key(hall)
+    }
+
+    /// The evacuated halls, ordered by name.
+    pub fn names(&self) -> impl Iterator<Item = &str> {
+        self.halls.keys().map(String::as_str)
+    }
+}
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -1,11 +1,8 @@
-//! Membership: who is there, who is suspected, who has left.
+//! Gossip-based membership with failure detection.
 //!
-//! Every tick the entry asks one random present member for an exchange. A
-//! failed exchange makes that member suspect; the suspicion spreads like any
-//! record, and the member refutes it by raising its version as soon as it
-//! hears of it through anybody. A suspicion that stands for `suspect_ms` makes
-//! it dead. Records go out least-often-passed-on first, so news travels before
-//! old knowledge, and a message stays small whatever the size of the fleet.
+//! Every tick the entry starts an exchange with one random present member. A failed exchange
+//! makes that member suspect, and dead after `suspect_ms` unless it refutes the suspicion by
+//! raising its version. Records sent least often go out first, which bounds the message size.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,29 +11,28 @@
 use rand::seq::IteratorRandom;
 use rand::Rng;
 
-use crate::leaving::HostView;
+use crate::host_view::HostView;
 use crate::member::{Health, Member, Stopping};
 use crate::rendezvous;
-use crate::wire::{Exchange, MAX_NEWS, MAX_REPEATED};
+use crate::wire::{Exchange, MAX_NEW_RECORDS, MAX_REPEATED_RECORDS};
 use crate::{Incarnation, Millis};
 
-/// Times a changed record is passed on as news. With every entry passing news
-/// on so often, all of some hundreds hear of it with near certainty; the few
-/// that do not hear it from repeated records.
-const NEWS_TIMES: u32 = 12;
+/// Times that each entry sends a changed record with priority; enough to reach nearly all of
+/// several hundred entries. The others receive it as a repeated record.
+const NEW_RECORD_SENDS: u32 = 12;
 
-/// Times of the membership protocol, in milliseconds.
+/// Timing of the membership protocol.
 #[derive(Debug, Clone, Copy)]
 pub struct FleetTiming {
-    /// Between two exchanges started by one entry.
+    /// Interval between two exchanges started by one entry.
     pub tick_ms: Millis,
-    /// From suspicion to death.
+    /// Time from suspicion until a member is declared dead.
     pub suspect_ms: Millis,
-    /// From death or leaving until the record is forgotten; longer than
-    /// tickets live, so that a ticket always finds its issuer's fate.
+    /// Time from death or departure until the record is removed; exceeds the lifetime of
+    /// tickets, so that the issuer of a valid ticket can be looked up.
     pub forget_ms: Millis,
-    /// Ticks between attempts to reach a seed or a dead member again.
-    pub reach_out_ticks: u64,
+    /// Ticks between attempts to contact a seed or a dead member.
+    pub rejoin_ticks: u64,
 }
 
 impl Default for FleetTiming {
@@ -45,12 +41,12 @@
             tick_ms: 500,
             suspect_ms: 3_000,
             forget_ms: 900_000,
-            reach_out_ticks: 10,
+            rejoin_ticks: 10,
         }
     }
 }
 
-/// What the caller should do.
+/// Action for the caller to perform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Output {
     /// Exchange with the peer at this address.
@@ -58,14 +54,14 @@
 }
 
 #[derive(Debug)]
-struct Known {
+struct Record {
     member: Member,
-    /// When its health or stop last changed here.
-    since: Millis,
-    /// When it last spoke to this entry itself.
-    heard: Option<Millis>,
-    /// Times this record was passed on in its present form.
-    passed_on: u32,
+    /// When `health` or `stopping` last changed in this view.
+    changed_at: Millis,
+    /// When this entry last received a message from the member itself.
+    received_at: Option<Millis>,
+    /// Times that the record was sent since it last changed.
+    sends: u32,
 }
 
 /// This entry's view of the fleet.
@@ -73,10 +69,10 @@
     own: Member,
     seeds: Vec<SocketAddr>,
     timing: FleetTiming,
-    known: HashMap<Incarnation, Known>,
+    records: HashMap<Incarnation, Record>,
     pub hosts: HostView,
     ticks: u64,
-    /// Some peer has told this entry all it knows.
+    /// A peer has sent all its records.
     joined: bool,
     last_contact: Option<Millis>,
 }
@@ -88,7 +84,7 @@
             own,
             seeds,
             timing,
-            known: HashMap::new(),
+            records: HashMap::new(),
             hosts: HostView::default(),
             ticks: 0,
             joined: false,
@@ -96,7 +92,7 @@
         }
     }
 
-    /// True once this entry knows what its peers know.
+    /// True once a peer has sent all its records.
     pub fn has_joined(&self) -> bool {
         self.joined
     }
@@ -106,21 +102,21 @@
         &self.own
     }
 
-    /// When an exchange last succeeded, either way.
+    /// When an exchange last succeeded, in either direction.
     pub fn last_contact(&self) -> Option<Millis> {
         self.last_contact
     }
 
-    /// Records of the others, in order of incarnation.
+    /// Records of the other members, ordered by incarnation.
     pub fn others(&self) -> Vec<&Member> {
-        let mut members: Vec<_> = self.known.values().map(|known| &known.member).collect();
+        let mut members: Vec<_> = self.records.values().map(|record| &record.member).collect();
         members.sort_by_key(|member| member.incarnation);
         members
     }
 
-    /// When a member last spoke to this entry itself.
+    /// When this entry last received a message from the member itself.
     pub fn last_heard(&self, incarnation: Incarnation) -> Option<Millis> {
-        self.known.get(&incarnation)?.heard
+        self.records.get(&incarnation)?.received_at
     }
 
     /// Publishes the revision that this entry has in force.
@@ -133,22 +129,21 @@
         self.own.list_hash = hash;
     }
 
-    /// True when some present member has read another host list than this
-    /// entry: one of the two is older.
+    /// True when a present member has read a different host list: one of the two is older.
     pub fn list_differs(&self) -> bool {
-        self.known
+        self.records
             .values()
-            .map(|known| &known.member)
+            .map(|record| &record.member)
             .filter(|member| member.is_present() && member.list_hash != 0)
             .any(|member| member.list_hash != self.own.list_hash)
     }
 
-    /// Highest revision any present member reports, and where.
+    /// Highest revision that a present member reports, and the address of that member.
     pub fn newest_revision(&self) -> Option<(u64, SocketAddr)> {
-        self.known
+        self.records
             .values()
-            .filter(|known| known.member.is_present())
-            .map(|known| (known.member.revision, known.member.peer))
+            .filter(|record| record.member.is_present())
+            .map(|record| (record.member.revision, record.member.peer))
             .max()
     }
 
@@ -158,72 +153,72 @@
         self.own.successor = self.own.successor.or(successor);
     }
 
-    /// True when this entry is one of the `count` in its hall that ask the
-    /// platform for `what` on behalf of all.
-    pub fn asks_for_all(&self, what: &str, count: usize) -> bool {
+    /// True when this entry is one of the `count` entries in its hall that query the platform
+    /// for `subject` on behalf of all.
+    pub fn asks_for_all(&self, subject: &str, count: usize) -> bool {
         let candidates = self
-            .known
+            .records
             .values()
-            .map(|known| &known.member)
+            .map(|record| &record.member)
             .chain([&self.own])
             .filter(|member| member.hall == self.own.hall && member.takes_work())
             .map(|member| member.incarnation);
-        rendezvous::choose(what, candidates, count).contains(&self.own.incarnation)
+        rendezvous::choose(subject, candidates, count).contains(&self.own.incarnation)
     }
 
-    /// One tick: ages suspicions and chooses whom to exchange with.
+    /// Expires suspicions and chooses the peers to exchange with in this tick.
     pub fn tick(&mut self, now: Millis, rng: &mut SmallRng) -> Vec<Output> {
         self.ticks += 1;
-        self.age(now);
+        self.expire(now);
         let mut outputs: Vec<_> = self
             .present_peers()
             .choose(rng)
             .into_iter()
             .map(Output::Exchange)
             .collect();
-        let lonely = outputs.is_empty();
-        if lonely || self.ticks.is_multiple_of(self.timing.reach_out_ticks) {
-            outputs.extend(self.reach_out(rng).map(Output::Exchange));
+        let has_no_peer = outputs.is_empty();
+        if has_no_peer || self.ticks.is_multiple_of(self.timing.rejoin_ticks) {
+            outputs.extend(self.rejoin_peer(rng).map(Output::Exchange));
         }
         outputs
     }
 
-    /// Random present peers, for spreading news faster than the tick.
+    /// Random present peers, for spreading an update before the next tick.
     pub fn random_peers(&self, count: usize, rng: &mut SmallRng) -> Vec<SocketAddr> {
         self.present_peers().choose_multiple(rng, count)
     }
 
     /// Addresses of all members that still answer peers.
     pub fn present_peers(&self) -> impl Iterator<Item = SocketAddr> + '_ {
-        self.known
+        self.records
             .values()
-            .filter(|known| known.member.is_present())
-            .map(|known| known.member.peer)
+            .filter(|record| record.member.is_present())
+            .map(|record| record.member.peer)
     }
 
-    /// A seed or a dead member: how parts of a fleet find each other again.
-    fn reach_out(&self, rng: &mut impl Rng) -> Option<SocketAddr> {
+    /// A seed or a dead member. Contacting one merges a partitioned fleet again.
+    fn rejoin_peer(&self, rng: &mut impl Rng) -> Option<SocketAddr> {
         let dead = self
-            .known
+            .records
             .values()
-            .filter(|known| known.member.health == Health::Dead)
-            .filter(|known| known.member.stopping != Stopping::Left)
-            .map(|known| known.member.peer);
+            .filter(|record| record.member.health == Health::Dead)
+            .filter(|record| record.member.stopping != Stopping::Left)
+            .map(|record| record.member.peer);
         self.seeds.iter().copied().chain(dead).choose(rng)
     }
 
-    fn age(&mut self, now: Millis) {
+    fn expire(&mut self, now: Millis) {
         let timing = self.timing;
-        for known in self.known.values_mut() {
-            let age = now.saturating_sub(known.since);
-            if known.member.health == Health::Suspect && age >= timing.suspect_ms {
-                known.member.health = Health::Dead;
-                known.since = now;
-                known.passed_on = 0;
+        for record in self.records.values_mut() {
+            let age = now.saturating_sub(record.changed_at);
+            if record.member.health == Health::Suspect && age >= timing.suspect_ms {
+                record.member.health = Health::Dead;
+                record.changed_at = now;
+                record.sends = 0;
             }
         }
-        self.known.retain(|_, known| {
-            known.member.is_present() || now.saturating_sub(known.since) < timing.forget_ms
+        self.records.retain(|_, record| {
+            record.member.is_present() || now.saturating_sub(record.changed_at) < timing.forget_ms
         });
     }
 
@@ -233,16 +228,16 @@
             from: self.own.clone(),
             wants_all: !self.joined,
             holds_all: false,
-            members: self.records_to_spread(),
+            members: self.records_to_send(),
             leaving: self.hosts.to_spread(),
         }
     }
 
-    /// The message to send as a reply; a newcomer gets every record, for it
-    /// has to know who answers for the tickets of those that left before.
-    pub fn reply(&mut self, newcomer: bool) -> Exchange {
+    /// The message to send as a reply. A joining peer receives every record, because it must
+    /// resolve the issuers of tickets that left before.
+    pub fn reply(&mut self, is_joining: bool) -> Exchange {
         let mut message = self.message();
-        if newcomer {
+        if is_joining {
             message.holds_all = true;
             message.members = self.others().into_iter().cloned().collect();
             message.leaving = self.hosts.all_leaving();
@@ -250,86 +245,86 @@
         message
     }
 
-    /// News first; then a few old records in turn, for whoever missed them.
-    fn records_to_spread(&mut self) -> Vec<Member> {
-        let mut order: Vec<_> = self.known.values_mut().collect();
-        order.sort_by_key(|known| (known.passed_on, known.member.incarnation));
-        let news = order.iter().filter(|k| k.passed_on < NEWS_TIMES).count();
+    /// New records first, then a few old ones in turn for peers that missed them.
+    fn records_to_send(&mut self) -> Vec<Member> {
+        let mut order: Vec<_> = self.records.values_mut().collect();
+        order.sort_by_key(|record| (record.sends, record.member.incarnation));
+        let new = order.iter().filter(|r| r.sends < NEW_RECORD_SENDS).count();
         order
             .into_iter()
-            .take(news.clamp(MAX_REPEATED, MAX_NEWS))
-            .map(|known| {
-                known.passed_on += 1;
-                known.member.clone()
+            .take(new.clamp(MAX_REPEATED_RECORDS, MAX_NEW_RECORDS))
+            .map(|record| {
+                record.sends += 1;
+                record.member.clone()
             })
             .collect()
     }
 
-    /// Takes a peer's message. Its sender is alive: it has just spoken.
+    /// Merges a peer's message, which also proves that the sender is alive.
     pub fn receive(&mut self, now: Millis, message: Exchange) {
         self.last_contact = Some(now);
         self.joined |= message.holds_all;
-        self.replace_earlier_run(now, &message.from);
-        self.take_record(now, &message.from);
-        if let Some(known) = self.known.get_mut(&message.from.incarnation) {
-            known.member.list_hash = message.from.list_hash;
-            known.heard = Some(now);
+        self.end_predecessors(now, &message.from);
+        self.merge_record(now, &message.from);
+        if let Some(record) = self.records.get_mut(&message.from.incarnation) {
+            record.member.list_hash = message.from.list_hash;
+            record.received_at = Some(now);
         }
         for member in &message.members {
-            self.take_record(now, member);
+            self.merge_record(now, member);
         }
         for host in message.leaving {
             self.hosts.learn(host);
         }
     }
 
-    /// An exchange with the peer at `address` failed.
+    /// Marks the member at `address` suspect after a failed exchange.
     pub fn fail(&mut self, now: Millis, address: SocketAddr) {
-        for known in self.known.values_mut() {
-            let member = &mut known.member;
+        for record in self.records.values_mut() {
+            let member = &mut record.member;
             if member.peer == address && member.health == Health::Alive && member.is_present() {
                 member.health = Health::Suspect;
-                known.since = now;
-                known.passed_on = 0;
+                record.changed_at = now;
+                record.sends = 0;
             }
         }
     }
 
-    /// A new process at an address ends every earlier one there.
-    fn replace_earlier_run(&mut self, now: Millis, newcomer: &Member) {
-        for known in self.known.values_mut() {
-            let member = &mut known.member;
-            let same_place = member.peer == newcomer.peer;
-            if same_place && member.incarnation != newcomer.incarnation && member.is_present() {
+    /// Marks earlier processes at the sender's address dead.
+    fn end_predecessors(&mut self, now: Millis, sender: &Member) {
+        for record in self.records.values_mut() {
+            let member = &mut record.member;
+            let same_address = member.peer == sender.peer;
+            if same_address && member.incarnation != sender.incarnation && member.is_present() {
                 member.health = Health::Dead;
-                known.since = now;
-                known.passed_on = 0;
+                record.changed_at = now;
+                record.sends = 0;
             }
         }
     }
 
-    fn take_record(&mut self, now: Millis, member: &Member) {
+    fn merge_record(&mut self, now: Millis, member: &Member) {
         if member.incarnation == self.own.incarnation {
             return self.refute(member);
         }
-        match self.known.get_mut(&member.incarnation) {
-            Some(known) => {
-                let before = (known.member.health, known.member.stopping);
-                if known.member.merge(member) {
-                    known.passed_on = 0;
+        match self.records.get_mut(&member.incarnation) {
+            Some(record) => {
+                let before = (record.member.health, record.member.stopping);
+                if record.member.merge(member) {
+                    record.sends = 0;
                 }
-                if before != (known.member.health, known.member.stopping) {
-                    known.since = now;
+                if before != (record.member.health, record.member.stopping) {
+                    record.changed_at = now;
                 }
             }
             None if member.is_present() || member.stopping == Stopping::Left => {
-                self.known.insert(
+                self.records.insert(
                     member.incarnation,
-                    Known {
+                    Record {
                         member: member.clone(),
-                        since: now,
-                        heard: None,
-                        passed_on: 0,
+                        changed_at: now,
+                        received_at: None,
+                        sends: 0,
                     },
                 );
             }
--- a/crates/fleet/src/groups.rs
+++ b/crates/fleet/src/groups.rs
@@ -1,20 +1,17 @@
-//! Which group of a service's targets a target or a key belongs to.
+//! Assigns the targets and keys of a service to groups, each owned by one entry.
 //!
-//! Every group is one entry's, which knows all that is known of its targets, so a target
-//! should stay in its group whatever other ones come and go. Rendezvous hashing over the
-//! groups does that: while their count stays, none moves, and where it grows by one only
-//! the new group's own come to it.
+//! Rendezvous hashing over the groups moves no target while the group count is unchanged; an
+//! additional group receives only its own targets.
 
 use crate::rendezvous;
 
-/// Groups of about `size` targets each that a service with so many targets has; at least
-/// one.
+/// Number of groups of about `size` targets each; at least one.
 pub fn count(targets: usize, size: usize) -> usize {
     targets.div_ceil(size).max(1)
 }
 
-/// The group, of so many, that a target or a key belongs to.
+/// Index of the group of a target or key, out of `groups`.
 pub fn place_of(key: &str, groups: usize) -> usize {
-    let score = |at: &usize| rendezvous::score(key, *at);
+    let score = |index: &usize| rendezvous::score(key, *index);
     (0..groups).max_by_key(score).unwrap_or(0)
 }
--- a/crates/fleet/src/leaving.rs
+++ b/crates/fleet/src/host_view.rs
@@ -1,22 +1,20 @@
-//! Which hosts are leaving or gone, from a list that lags.
+//! Which hosts are leaving or gone, according to a host list that may be stale.
 //!
-//! "Leaving" is a fact about a host's incarnation and never taken back: it may
-//! be learnt from the list, an operator, the target itself or a peer, and a
-//! list that lags behind cannot bring the host back. A host that is missing
-//! from the list counts as gone only after several reads, and a list that
-//! lost more than half of its hosts at once is not believed at all.
+//! A host incarnation that is leaving never returns to service, whatever later lists contain.
+//! A host missing from the list counts as gone only after several reads, and a list that lost
+//! more than half of its hosts at once is rejected.
 
 use std::collections::{HashMap, HashSet};
 
 use serde::{Deserialize, Serialize};
 
-use crate::wire::MAX_LEAVING;
+use crate::wire::MAX_LEAVING_HOSTS;
 use crate::Incarnation;
 
-/// Reads of the list a host must be missing from before it counts as gone.
+/// Reads of the list from which a host must be missing to count as gone.
 const MISSING_READS: u32 = 2;
-/// Share of hosts that must still be listed for the list to be believed.
-const PANIC_SHARE: f64 = 0.5;
+/// Share of the known hosts that a list must still contain to be accepted.
+const MIN_LISTED_SHARE: f64 = 0.5;
 /// Leaving hosts remembered; the oldest are dropped first.
 const MAX_REMEMBERED: usize = 4096;
 
@@ -27,7 +25,7 @@
     pub incarnation: Incarnation,
 }
 
-/// One line of a list that was just read.
+/// One row of the host list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ListedHost {
     pub name: String,
@@ -35,19 +33,20 @@
     pub leaving: bool,
 }
 
-/// What is known of hosts.
+/// This entry's view of the hosts.
 #[derive(Debug, Default)]
 pub struct HostView {
-    /// Incarnation that the list last showed.
+    /// Incarnation of each host in the last accepted list.
     listed: HashMap<String, Incarnation>,
+    /// Reads from which each missing host was absent.
     missing: HashMap<String, u32>,
     leaving: HashSet<LeavingHost>,
-    /// In order of learning, with times passed on.
-    spread: Vec<(u32, LeavingHost)>,
+    /// Times sent and leaving host, in the order in which they were learned.
+    sends: Vec<(u32, LeavingHost)>,
 }
 
 impl HostView {
-    /// Takes a fresh list; false when it shrank too much to be believed.
+    /// Applies a newly read list. Returns false if it lost too many hosts and was rejected.
     pub fn observe(&mut self, hosts: &[ListedHost]) -> bool {
         let names: HashSet<&str> = hosts.iter().map(|host| host.name.as_str()).collect();
         let kept = self
@@ -55,7 +54,7 @@
             .keys()
             .filter(|name| names.contains(name.as_str()))
             .count();
-        if (kept as f64) < self.listed.len() as f64 * PANIC_SHARE {
+        if (kept as f64) < self.listed.len() as f64 * MIN_LISTED_SHARE {
             return false;
         }
         self.count_missing(&names);
@@ -83,31 +82,31 @@
             .retain(|name, _| missing.get(name).copied().unwrap_or(0) <= MISSING_READS);
     }
 
-    /// The list was read once more and is still the same.
+    /// Counts another read that returned the same list.
     pub fn read_again(&mut self) {
         self.missing.values_mut().for_each(|reads| *reads += 1);
     }
 
-    /// True when one more read of the same list would change nothing.
+    /// True when another read of the same list would change nothing.
     pub fn is_settled(&self) -> bool {
         self.missing.values().all(|reads| *reads >= MISSING_READS)
     }
 
-    /// Learns that a host incarnation is leaving; true when it is news.
+    /// Records that a host incarnation is leaving. True when it wasn't known before.
     pub fn learn(&mut self, host: LeavingHost) -> bool {
         if !self.leaving.insert(host.clone()) {
             return false;
         }
-        self.spread.push((0, host));
-        if self.spread.len() > MAX_REMEMBERED {
-            let (_, oldest) = self.spread.remove(0);
+        self.sends.push((0, host));
+        if self.sends.len() > MAX_REMEMBERED {
+            let (_, oldest) = self.sends.remove(0);
             self.leaving.remove(&oldest);
         }
         true
     }
 
-    /// Learns from an operator or the host itself, who name no incarnation:
-    /// whatever incarnation is known now is leaving.
+    /// Records that the last listed incarnation of a host is leaving, for sources that give
+    /// no incarnation. True when it wasn't known before.
     pub fn learn_by_name(&mut self, name: &str) -> bool {
         let incarnation = self.incarnation(name);
         self.learn(LeavingHost {
@@ -120,7 +119,7 @@
         self.listed.get(name).copied().unwrap_or(0)
     }
 
-    /// True when a host may be given new work.
+    /// True when a host may get new work.
     pub fn takes_work(&self, name: &str) -> bool {
         let host = LeavingHost {
             name: name.into(),
@@ -130,21 +129,21 @@
         !gone && !self.leaving.contains(&host)
     }
 
-    /// Every leaving host, for a newcomer.
+    /// Every leaving host, for a joining entry.
     pub fn all_leaving(&self) -> Vec<LeavingHost> {
-        self.spread.iter().map(|(_, host)| host.clone()).collect()
+        self.sends.iter().map(|(_, host)| host.clone()).collect()
     }
 
-    /// Leaving hosts to pass on, those passed on least often first.
+    /// Leaving hosts for the next message, least often sent first.
     pub fn to_spread(&mut self) -> Vec<LeavingHost> {
-        let mut order: Vec<usize> = (0..self.spread.len()).collect();
-        order.sort_by_key(|at| self.spread[*at].0);
+        let mut order: Vec<usize> = (0..self.sends.len()).collect();
+        order.sort_by_key(|index| self.sends[*index].0);
         order
             .into_iter()
-            .take(MAX_LEAVING)
-            .map(|at| {
-                let (times, host) = &mut self.spread[at];
-                *times += 1;
+            .take(MAX_LEAVING_HOSTS)
+            .map(|index| {
+                let (sends, host) = &mut self.sends[index];
+                *sends += 1;
                 host.clone()
             })
             .collect()
--- a/crates/fleet/src/live_runs.rs
+++ b/crates/fleet/src/live_runs.rs
@@ -1,60 +1,59 @@
-//! Which run of each host is live: as the store lists them, and as hosts were heard.
+//! Tracks the live run of each host, from the store's list and from the hosts' own messages.
 //!
-//! When a process starts again its host's record stays that of the run before until
-//! the store tells of the new one. A run that was heard takes that one's place until
-//! the store's word has caught up.
+//! After a process restarts, the store lists its previous run until the host's record is
+//! written again. A run observed by message replaces the listed one until then.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// Live runs: what is known of each, by its id.
+/// Live runs by id.
 #[derive(Debug)]
 pub struct LiveRuns<K, R> {
     listed: Vec<R>,
-    /// The run that was heard at the host whose record names another.
-    newer: HashMap<K, R>,
+    /// Observed runs by the id of the run that each replaces.
+    successors: HashMap<K, R>,
     id_of: fn(&R) -> K,
 }
 
 impl<K: Copy + Eq + Hash, R: Clone> LiveRuns<K, R> {
-    /// None yet; `id_of` names a run.
+    /// Without any runs; `id_of` returns the id of a run.
     pub fn new(id_of: fn(&R) -> K) -> Self {
         LiveRuns {
             listed: Vec::new(),
-            newer: HashMap::new(),
+            successors: HashMap::new(),
             id_of,
         }
     }
 
-    /// Takes the runs that the store lists; forgets what was heard in the place of
-    /// runs that it lists no longer.
+    /// Sets the runs that the store lists, and drops the successors of runs that aren't
+    /// reachable from it.
     pub fn take_listed(&mut self, listed: Vec<R>) {
         self.listed = listed;
-        let mut stands_for: Vec<K> = self.listed.iter().map(self.id_of).collect();
-        let mut at = 0;
-        while let Some(run) = stands_for.get(at).copied() {
-            let next = self.newer.get(&run).map(self.id_of);
-            stands_for.extend(next);
-            at += 1;
+        let mut reachable: Vec<K> = self.listed.iter().map(self.id_of).collect();
+        let mut index = 0;
+        while let Some(run) = reachable.get(index).copied() {
+            let next = self.successors.get(&run).map(self.id_of);
+            reachable.extend(next);
+            index += 1;
         }
-        self.newer.retain(|old, _| stands_for.contains(old));
+        self.successors.retain(|old, _| reachable.contains(old));
     }
 
-    /// `new` was heard at the host whose run was taken to be `old`.
+    /// Records that run `new` was observed at the host whose known run was `old`.
     pub fn heard(&mut self, old: K, new: R) {
-        // Whoever was heard last is alive, whatever was thought of it.
-        self.newer.remove(&(self.id_of)(&new));
-        self.newer.insert(old, new);
+        // The run observed last is alive, so it has no successor.
+        self.successors.remove(&(self.id_of)(&new));
+        self.successors.insert(old, new);
     }
 
-    /// The newest known run of each host that the store lists.
+    /// The newest known run of each listed host.
     pub fn live(&self) -> Vec<R> {
         self.listed.iter().map(|run| self.newest(run)).collect()
     }
 
     fn newest(&self, listed: &R) -> R {
         let mut newest = listed;
-        while let Some(next) = self.newer.get(&(self.id_of)(newest)) {
+        while let Some(next) = self.successors.get(&(self.id_of)(newest)) {
             newest = next;
         }
         newest.clone()
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -1,4 +1,4 @@
-//! One entry as the others see it, and which of two views is newer.
+//! One entry as its peers see it, and how two views of it are merged.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 
 use crate::Incarnation;
 
-/// Whether a member answers. Order matters: at equal versions the later wins.
+/// Whether a member answers. At equal versions the greater variant wins a merge.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Health {
     Alive,
@@ -14,39 +14,39 @@
     Dead,
 }
 
-/// How far a planned stop has come; it never goes back.
+/// Progress of a planned stop; it only increases.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Stopping {
     No,
-    /// Still serves; is given nothing new.
+    /// Still serves, but takes no new work.
     Leaving,
-    /// Gone; its tickets are answered by the successor, if there is one.
+    /// Stopped; the successor, if any, answers for its tickets.
     Left,
 }
 
-/// A member record, as spread between entries.
+/// A member record, as entries exchange it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     pub incarnation: Incarnation,
     pub name: String,
     pub hall: String,
-    /// Its peers' listener.
+    /// Address of its listener for peers.
     pub peer: SocketAddr,
     /// Raised by the member itself to refute a suspicion.
     pub version: u32,
     pub health: Health,
     pub stopping: Stopping,
-    /// Who answers for its tickets after it left.
+    /// The member that answers for its tickets once it has left.
     pub successor: Option<Incarnation>,
     /// Configuration revision it has in force.
     pub revision: u64,
-    /// Hash of the host list it last read; 0 before any. Known only from the
-    /// member itself, since lists have no order.
+    /// Hash of the host list that it last read; 0 before the first one. Taken only from the
+    /// member itself, because hashes have no order.
     pub list_hash: u64,
 }
 
 impl Member {
-    /// Takes over whatever is newer in `other`; true when something changed.
+    /// Takes over the newer fields of `other`; true when something changed.
     pub fn merge(&mut self, other: &Member) -> bool {
         let before = self.clone();
         if (other.version, other.health) > (self.version, self.health) {
@@ -59,22 +59,22 @@
         *self != before
     }
 
-    /// Serves and may be given new work.
+    /// True when the member serves and accepts new work.
     pub fn takes_work(&self) -> bool {
         self.health != Health::Dead && self.stopping == Stopping::No
     }
 
-    /// Still answers peers.
+    /// True when the member still answers peers.
     pub fn is_present(&self) -> bool {
         self.health != Health::Dead && self.stopping != Stopping::Left
     }
 }
 
-/// Longest chain of successors that is followed.
+/// Longest chain of successors that is followed; ends cycles.
 const MAX_SUCCESSORS: usize = 64;
 
-/// Who answers for the tickets of `issuer`: itself, or the end of its chain of
-/// successors; `None` when it left without one or is not known.
+/// The member that answers for the tickets of `issuer`: itself, or the end of its chain of
+/// successors; `None` when it is unknown or left without a successor.
 pub fn answering<'a>(
     issuer: Incarnation,
     find: impl Fn(Incarnation) -> Option<&'a Member>,
--- a/crates/fleet/src/newest.rs
+++ b/crates/fleet/src/newest.rs
@@ -1,39 +1,37 @@
-//! The newest version of something that is replaced as a whole, whoever brings
-//! it.
+//! Holds the newest version of a value that is replaced as a whole.
 //!
-//! The store and peers tell versions late, twice and out of order. Only a higher
-//! version than the one held replaces it, so what is in force never goes back
-//! within a process.
+//! The store and peers deliver versions late, repeatedly and out of order. Only a higher
+//! version replaces the current one, so the version never decreases within a process.
 
-/// What is held, with its version.
+/// A value and its version.
 #[derive(Debug, Clone)]
 pub struct Newest<T> {
-    held: Option<(u64, T)>,
+    current: Option<(u64, T)>,
 }
 
 impl<T> Default for Newest<T> {
     fn default() -> Self {
-        Newest { held: None }
+        Newest { current: None }
     }
 }
 
 impl<T> Newest<T> {
-    /// What is held; `None` before the first version came.
+    /// The current value; `None` before the first version.
     pub fn get(&self) -> Option<&T> {
-        self.held.as_ref().map(|(_, value)| value)
+        self.current.as_ref().map(|(_, value)| value)
     }
 
-    /// Version of what is held; `None` before the first one.
+    /// The current version; `None` before the first one.
     pub fn version(&self) -> Option<u64> {
-        self.held.as_ref().map(|(version, _)| *version)
+        self.current.as_ref().map(|(version, _)| *version)
     }
 
-    /// Takes `value` if it is newer than what is held; tells whether it was.
+    /// Replaces the value if `version` is higher than the current one. Returns whether it did.
     pub fn offer(&mut self, version: u64, value: T) -> bool {
-        if self.version().is_some_and(|held| version <= held) {
+        if self.version().is_some_and(|current| version <= current) {
             return false;
         }
-        self.held = Some((version, value));
+        self.current = Some((version, value));
         true
     }
 }
--- a/crates/fleet/src/ownership.rs
+++ b/crates/fleet/src/ownership.rs
@@ -1,59 +1,61 @@
-//! Which entry owns something that one entry should decide.
+//! Assigns one owner among the live entries to each key.
 //!
-//! Rendezvous hashing gives each thing one owner among the live entries without
-//! any agreement. Hosts differ in size: an owner moves what all other entries
-//! hand it, so only entries with at least half of the largest capacity own
-//! anything. When they are all gone, the smaller ones do. One that doesn't keep up with
-//! its work owns nothing unless that is so of all: whatever it owned would wait for it.
+//! Rendezvous hashing gives every entry the same result without coordination. An owner handles
+//! what all other entries send for its keys, so only entries with at least half of the largest
+//! capacity own any. An entry with event-loop lag owns nothing unless all entries lag.
 
 use std::cmp::Reverse;
 
 use crate::rendezvous;
 
-/// An entry that may own something.
+/// An entry that is eligible as an owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Candidate<'a> {
-    /// Name of its host, which outlives a restart.
+    /// Name of its host, which is stable across restarts.
     pub host: &'a str,
-    /// What its host can move, by a measure that all entries share.
+    /// Relative capacity of its host, by a measure common to all entries.
     pub capacity: u32,
-    /// It says that it doesn't keep up with its work.
+    /// The entry reports event-loop lag.
     pub is_slow: bool,
 }
 
-/// Position of the owner of `what`; `None` without candidates.
+/// Index of the owner of `key`; `None` without candidates.
 pub fn owner<'a>(
-    what: &str,
+    key: &str,
     candidates: impl Iterator<Item = Candidate<'a>> + Clone,
 ) -> Option<usize> {
-    scored(what, candidates).max().map(|(_, at)| at)
+    scored(key, candidates).max().map(|(_, index)| index)
 }
 
-/// Positions of so many owners of `what` at the most, the first one first.
+/// Indices of at most `limit` owners of `key`, highest score first.
 pub fn owners<'a>(
-    what: &str,
+    key: &str,
     candidates: impl Iterator<Item = Candidate<'a>> + Clone,
-    most: usize,
+    limit: usize,
 ) -> Vec<usize> {
-    let mut scored: Vec<(u64, usize)> = scored(what, candidates).collect();
+    let mut scored: Vec<(u64, usize)> = scored(key, candidates).collect();
     scored.sort_unstable_by_key(|scored| Reverse(*scored));
-    scored.into_iter().take(most).map(|(_, at)| at).collect()
+    scored
+        .into_iter()
+        .take(limit)
+        .map(|(_, index)| index)
+        .collect()
 }
 
-/// The entries that may own something: the score of each for `what`, and its position.
-fn scored<'a, 'w, I>(
-    what: &'w str,
+/// Score for `key` and index of each eligible candidate.
+fn scored<'a, 'k, I>(
+    key: &'k str,
     candidates: I,
-) -> impl Iterator<Item = (u64, usize)> + use<'a, 'w, I>
+) -> impl Iterator<Item = (u64, usize)> + use<'a, 'k, I>
 where
     I: Iterator<Item = Candidate<'a>> + Clone,
 {
-    let all_slow = candidates.clone().all(|entry| entry.is_slow);
-    let keeps_up = move |entry: &Candidate<'a>| all_slow || !entry.is_slow;
-    let well = candidates.clone().filter(keeps_up);
-    let largest = well.map(|entry| entry.capacity).max().unwrap_or(0);
+    let all_lag = candidates.clone().all(|entry| entry.is_slow);
+    let is_responsive = move |entry: &Candidate<'a>| all_lag || !entry.is_slow;
+    let responsive = candidates.clone().filter(is_responsive);
+    let largest = responsive.map(|entry| entry.capacity).max().unwrap_or(0);
     candidates
         .enumerate()
-        .filter(move |(_, entry)| keeps_up(entry) && entry.capacity >= largest / 2)
-        .map(move |(at, entry)| (rendezvous::score(what, entry.host), at))
+        .filter(move |(_, entry)| is_responsive(entry) && entry.capacity >= largest / 2)
+        .map(move |(index, entry)| (rendezvous::score(key, entry.host), index))
 }
--- a/crates/fleet/src/position.rs
+++ b/crates/fleet/src/position.rs
@@ -1,27 +1,26 @@
-//! Where in the history of the platform's store something was said.
+//! Positions in the history of the platform's store.
 //!
-//! The store may come back from an older copy. Then it gives revisions out again that stood
-//! for other changes before, and a revision alone tells no longer which of two words is the
-//! newer one. Each such return begins an era; a position is an era and a revision in it.
+//! A store restored from an older copy assigns revisions again that stood for other changes
+//! before, so a revision alone doesn't order two changes. Each restore begins an epoch; a
+//! position is an epoch and a revision in it.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// A change of the store. Later ones are greater, those of a later era always.
+/// Position of a change in the store. Ordered by epoch, then by revision.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Position {
-    /// Rises by one each time the store comes back from an older copy; 0 for a store that
-    /// names none.
+    /// Epoch: incremented each time the store is restored from an older copy; 0 for a store
+    /// that reports none.
     pub era: u64,
-    /// Rises with each change in an era; 0 before the first one.
+    /// Increases with each change in an epoch; 0 before the first one.
     pub revision: u64,
 }
 
 impl Position {
-    /// A revision in an era.
     pub fn new(era: u64, revision: u64) -> Self {
         Position { era, revision }
     }
--- a/crates/fleet/src/rendezvous.rs
+++ b/crates/fleet/src/rendezvous.rs
@@ -1,10 +1,10 @@
-//! Rendezvous hashing: every entry makes the same choice without talking.
+//! Rendezvous hashing: every entry makes the same choice without coordination.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Score of a candidate for a key; the highest scores are chosen.
+/// Score of a candidate for a key; candidates with the highest scores are chosen.
 ///
-/// `DefaultHasher::new` has fixed keys, so all entries of one build agree.
+/// `DefaultHasher::new` has fixed keys, so all entries of one build compute the same score.
 pub fn score(key: &str, candidate: impl Hash) -> u64 {
     let mut hasher = DefaultHasher::new();
     key.hash(&mut hasher);
--- a/crates/fleet/src/target_book/mod.rs
+++ b/crates/fleet/src/target_book/mod.rs
@@ -1,121 +1,108 @@
-//! Which targets there are, by what the store tells, through outages of it.
+//! Registry of the targets, fed with the store's records, that tolerates outages of the store.
 //!
-//! While the store answers, a record that goes means that its target is gone.
-//! A record that lapses because the store was away means nothing: the target
-//! may live on and write it again soon after the store's return. So what goes
-//! during an outage, or shortly after it, stays in the book as [`State::Doubted`]
-//! until [`BookTiming::return_ms`] after the return, and only then goes.
-//!
-//! A target may start again under its id. Its starts are told apart by a number that
-//! rises, and a later one ends the one before, in whatever order word of them comes. A
-//! start that was seen draining never becomes usable again.
-//!
-//! The store may come back from an older copy ([`TargetBook::era_began`]). A record that the
-//! copy misses was lost with it: its target counts as one whose record lapsed, until it has
-//! had the time to write again. A record that had gone before, and that the copy still has,
-//! is no new word: its target stays out as [`State::Returned`] until somebody writes the
-//! record, or it has outlived the time in which the record of a target that is gone lapses.
+//! A removed record means that its target is gone, except during an outage or shortly after
+//! it: then the target stays as [`State::Unconfirmed`] until [`TargetBook::settle`] removes it.
+//! After a restore from an older copy, a record that had been removed before makes its target
+//! [`State::Restored`], not usable until the record is written again or outlives its expiry.
 
 mod entry;
-mod gone;
+mod removed;
 
 use std::collections::{BTreeMap, HashSet};
 
-use self::entry::{is_of_the_copy, Entry, State};
-use self::gone::GoneStarts;
+use self::entry::{is_restored_copy, Entry, State};
+use self::removed::RemovedIncarnations;
 
 use crate::watch_pause::watch_pause;
 use crate::{Millis, Position};
 
-/// How long a record may be missing, or prove nothing, after the store's return.
+/// Delays after the store's return, in milliseconds.
 #[derive(Debug, Clone, Copy)]
 pub struct BookTiming {
-    /// Time from the store's return after which a missing record means that
-    /// its target is gone, in milliseconds.
+    /// Time from the store's return until a missing record means that its target is gone.
     pub return_ms: Millis,
-    /// The same for a record that the store lost when it came back from an older copy,
-    /// in milliseconds.
+    /// The same for a record that the store lost when it was restored from an older copy.
     pub lost_ms: Millis,
-    /// Time after which the record of a target that is gone has lapsed, in milliseconds.
+    /// Time after which the record of a target that is gone has expired.
     pub lapse_ms: Millis,
 }
 
-/// What a record says besides what it holds.
+/// Metadata of a target's record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Told {
-    /// Of its last change in the store.
+    /// Position of its last change in the store.
     pub at: Position,
-    /// Which start of the target wrote it; later ones have larger numbers.
+    /// Incarnation of the target that wrote it; later ones are greater.
     pub start: u64,
     /// The target takes no new work.
     pub draining: bool,
 }
 
-/// Whether the store answers this process.
+/// Whether the store answers this entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum StoreState {
-    Away,
-    /// Since this moment; 0 when it never was away.
-    Back(Millis),
+    Unreachable,
+    /// Since this time; 0 when it never was unreachable.
+    Reachable(Millis),
 }
 
-/// Targets by their ids.
+/// Targets by id.
 #[derive(Debug, Clone)]
 pub struct TargetBook<R> {
     timing: BookTiming,
     entries: BTreeMap<String, Entry<R>>,
-    /// Rises with each change of an entry.
+    /// Number of changes of entries so far.
     changes: u64,
     store: StoreState,
     /// When all records were last read.
-    read: Millis,
-    /// When the store last came back from an older copy.
-    era_began: Option<Millis>,
-    /// Up to where the first list of the newest era told.
+    read_at: Millis,
+    /// When the store was last restored from an older copy.
+    epoch_began_at: Option<Millis>,
+    /// Position of the first full list of the newest epoch.
     listed: Position,
-    gone: GoneStarts,
+    removed: RemovedIncarnations,
 }
 
 impl<R: PartialEq> TargetBook<R> {
-    /// An empty book of a store that answers.
+    /// An empty registry; the store is assumed reachable.
     pub fn new(timing: BookTiming) -> Self {
         TargetBook {
             timing,
             entries: BTreeMap::new(),
             changes: 0,
-            store: StoreState::Back(0),
-            read: 0,
-            era_began: None,
+            store: StoreState::Reachable(0),
+            read_at: 0,
+            epoch_began_at: None,
             listed: Position::default(),
-            gone: GoneStarts::default(),
+            removed: RemovedIncarnations::default(),
         }
     }
 
-    /// The store stopped answering. True when it is news.
+    /// Records that the store stopped answering. True when it was reachable before.
     pub fn store_away(&mut self) -> bool {
-        let was_there = self.store != StoreState::Away;
-        self.store = StoreState::Away;
-        was_there
+        let was_reachable = self.store != StoreState::Unreachable;
+        self.store = StoreState::Unreachable;
+        was_reachable
     }
 
-    /// The store answers. True when it is news.
+    /// Records that the store answers. True when it was unreachable before.
     pub fn store_back(&mut self, now: Millis) -> bool {
-        let was_away = self.store == StoreState::Away;
-        if was_away {
-            self.store = StoreState::Back(now.max(1));
+        let was_unreachable = self.store == StoreState::Unreachable;
+        if was_unreachable {
+            self.store = StoreState::Reachable(now.max(1));
         }
-        was_away
+        was_unreachable
     }
 
-    /// The store came back from an older copy about now: what it misses proves nothing for
-    /// a while, and neither does what it still has of targets that had gone.
+    /// Records that the store was restored from an older copy: for a while neither missing
+    /// records nor records of removed targets are conclusive.
     pub fn era_began(&mut self, now: Millis) {
         self.store_away();
         self.store_back(now);
-        self.era_began = Some(now);
+        self.epoch_began_at = Some(now);
     }
 
-    /// The store was away until about now, by the word of somebody who noticed.
+    /// Records an outage of the store, ended about now, that another entry reported.
     pub fn told_of_outage(&mut self, now: Millis) {
         if !self.is_unsettled(now) {
             self.store_away();
@@ -123,37 +110,35 @@
         }
     }
 
-    /// True while a missing record proves nothing.
+    /// True while a missing record doesn't mean that its target is gone.
     pub fn is_unsettled(&self, now: Millis) -> bool {
         match self.store {
-            StoreState::Away => true,
-            StoreState::Back(0) => false,
-            StoreState::Back(since) => now < since + self.timing.return_ms,
+            StoreState::Unreachable => true,
+            StoreState::Reachable(0) => false,
+            StoreState::Reachable(since) => now < since + self.timing.return_ms,
         }
     }
 
-    /// A record of some start was written at a position. True when the book changed.
-    pub fn put(&mut self, id: &str, told: Told, record: R) -> bool {
+    /// Applies a record. True when the registry changed.
+    pub fn put(&mut self, id: &str, meta: Told, record: R) -> bool {
         let known = self.entries.get(id);
-        let is_older = |known: &Entry<R>| (told.start, told.at) < (known.start, known.at);
-        if known.is_some_and(is_older) || (known.is_none() && self.gone.went_later(id, &told)) {
-            // Late or not, a start that leaves never takes that back.
-            return told.draining && self.left(id, told.start);
+        let is_older = |known: &Entry<R>| (meta.start, meta.at) < (known.incarnation, known.at);
+        if known.is_some_and(is_older) || (known.is_none() && self.removed.is_outdated(id, &meta)) {
+            // An outdated record still shows that its incarnation is draining.
+            return meta.draining && self.mark_draining(id, meta.start);
         }
-        let same_start = known.filter(|known| known.start == told.start);
-        let is_copy = same_start.is_some_and(|known| is_of_the_copy(known, &told, &record));
+        let same = known.filter(|known| known.incarnation == meta.start);
+        let is_copy = same.is_some_and(|known| is_restored_copy(known, &meta, &record));
         let state = match known {
-            Some(_) => same_start.map_or(told.state(), |known| known.state_after(&told, is_copy)),
-            None => self.state_of_unknown(id, &told),
+            Some(_) => same.map_or(meta.state(), |known| known.state_after(&meta, is_copy)),
+            None => self.state_of_unknown(id, &meta),
         };
         let changed = known.is_none_or(|known| known.state != state || known.record != record);
         let entry = Entry {
             record,
-            start: told.start,
-            at: same_start
-                .filter(|_| is_copy)
-                .map_or(told.at, |known| known.at),
-            missing_at: same_start.map_or(Position::default(), |known| known.missing_at),
+            incarnation: meta.start,
+            at: same.filter(|_| is_copy).map_or(meta.at, |known| known.at),
+            missing_at: same.map_or(Position::default(), |known| known.missing_at),
             state,
         };
         self.entries.insert(id.to_string(), entry);
@@ -161,35 +146,36 @@
         changed
     }
 
-    /// A start said that it leaves, before what is known of it now. True when the book
+    /// Marks an incarnation as draining because of an outdated record. True when the registry
     /// changed.
-    fn left(&mut self, id: &str, start: u64) -> bool {
+    fn mark_draining(&mut self, id: &str, incarnation: u64) -> bool {
         if let Some(known) = self.entries.get_mut(id) {
-            let is_news = known.start == start && known.state != State::Draining;
-            if is_news {
+            let is_new = known.incarnation == incarnation && known.state != State::Draining;
+            if is_new {
                 known.state = State::Draining;
                 self.changes += 1;
             }
-            return is_news;
+            return is_new;
         }
-        self.gone.left(id, start);
+        self.removed.mark_draining(id, incarnation);
         false
     }
 
-    /// What a record makes of a target that isn't in the book.
-    fn state_of_unknown(&self, id: &str, told: &Told) -> State {
-        let may_be_copy = self.listed.era < told.at.era || told.at <= self.listed;
-        let gone = self.gone.last(id);
-        let gone = gone.filter(|gone| gone.start == told.start && gone.at.era < told.at.era);
-        match gone.filter(|_| may_be_copy) {
-            Some(gone) if gone.left => State::Draining,
-            Some(_) if !told.draining => State::Returned,
-            _ => told.state(),
+    /// State that a record gives to a target that isn't registered.
+    fn state_of_unknown(&self, id: &str, meta: &Told) -> State {
+        let may_be_copy = self.listed.era < meta.at.era || meta.at <= self.listed;
+        let removed = self.removed.last(id);
+        let removed = removed
+            .filter(|removed| removed.incarnation == meta.start && removed.at.era < meta.at.era);
+        match removed.filter(|_| may_be_copy) {
+            Some(removed) if removed.was_draining => State::Draining,
+            Some(_) if !meta.draining => State::Restored,
+            _ => meta.state(),
         }
     }
 
-    /// What lies under a target's key from a position on can't be used. True when the
-    /// book changed.
+    /// Drops a target whose record is malformed as of a position. True when the registry
+    /// changed.
     pub fn spoiled(&mut self, id: &str, at: Position) -> bool {
         let known = self.entries.get(id);
         let is_newer = known.is_some_and(|known| known.at <= at);
@@ -197,10 +183,11 @@
         is_newer && self.entries.remove(id).is_some()
     }
 
-    /// A record went; `is_unsettled` says whether that proves nothing, by the word of
-    /// whoever tells of it. True when the book changed.
-    pub fn deleted(&mut self, incarnation: &str, at: Position, is_unsettled: bool) -> bool {
-        let Some(entry) = self.entries.get_mut(incarnation) else {
+    /// Applies the removal of a record. `is_unsettled` is the result of
+    /// [`TargetBook::is_unsettled`] at the source of the change. True when the target was
+    /// removed.
+    pub fn deleted(&mut self, id: &str, at: Position, is_unsettled: bool) -> bool {
+        let Some(entry) = self.entries.get_mut(id) else {
             return false;
         };
         if entry.at > at {
@@ -208,38 +195,36 @@
         }
         entry.missing_at = entry.missing_at.max(at);
         if is_unsettled && entry.state.is_usable() {
-            entry.state = State::Doubted;
+            entry.state = State::Unconfirmed;
             self.changes += 1;
             return false;
         }
-        self.remove(incarnation);
+        self.remove(id);
         true
     }
 
-    /// All records there are, as of a position: what isn't among them went.
-    /// Returns the incarnations that left the book.
+    /// Applies the full list of the ids with a record, as of a position. Returns the ids of
+    /// the targets removed.
     pub fn reconcile(&mut self, present: &[&str], at: Position, now: Millis) -> Vec<String> {
-        self.read = now;
+        self.read_at = now;
         if self.listed.era < at.era {
             self.listed = at;
         }
         let is_unsettled = self.is_unsettled(now);
         let present: HashSet<&str> = present.iter().copied().collect();
-        self.keys_where(|incarnation, _| !present.contains(incarnation))
+        self.ids_where(|id, _| !present.contains(id))
             .into_iter()
-            .filter(|incarnation| {
-                !self.is_lost(incarnation, at) && self.deleted(incarnation, at, is_unsettled)
-            })
+            .filter(|id| !self.mark_lost(id, at) && self.deleted(id, at, is_unsettled))
             .collect()
     }
 
-    /// True when a record that a list misses may be lost: it was last written before the
-    /// list's era. Its target counts as one whose record lapsed.
-    fn is_lost(&mut self, incarnation: &str, at: Position) -> bool {
-        let entry = self.entries.get_mut(incarnation);
+    /// Marks a target unconfirmed if the restored store may have lost its record, because it
+    /// was last written in an earlier epoch than the list's. True when it was marked.
+    fn mark_lost(&mut self, id: &str, at: Position) -> bool {
+        let entry = self.entries.get_mut(id);
         let usable = entry.filter(|entry| entry.at.era < at.era && entry.state.is_usable());
         if let Some(entry) = usable {
-            entry.state = State::Doubted;
+            entry.state = State::Unconfirmed;
             entry.missing_at = entry.missing_at.max(at);
             self.changes += 1;
             return true;
@@ -247,13 +232,11 @@
         false
     }
 
-    /// All records there are by the word of a peer that hears from the store: what
-    /// isn't among them went, whatever the store's state here. Returns the
-    /// incarnations that left the book.
+    /// Applies the full list of a peer that reaches the store, whatever the store's state
+    /// here. Returns the ids of the targets removed.
     pub fn adopt(&mut self, present: &[&str], at: Position) -> Vec<String> {
         let present: HashSet<&str> = present.iter().copied().collect();
-        let missing =
-            self.keys_where(|incarnation, entry| entry.at <= at && !present.contains(incarnation));
+        let missing = self.ids_where(|id, entry| entry.at <= at && !present.contains(id));
         for id in &missing {
             if let Some(entry) = self.entries.get_mut(id) {
                 entry.missing_at = entry.missing_at.max(at);
@@ -263,86 +246,87 @@
         missing
     }
 
-    /// How long the watch on these records pauses between two answers, `longest` at the
-    /// most: see [`watch_pause`].
+    /// Pause of the watch on these records, at most `longest`, in milliseconds; see
+    /// [`watch_pause`].
     pub fn watch_pause(&self, now: Millis, longest: Millis) -> Millis {
-        watch_pause(now.saturating_sub(self.read), longest)
+        watch_pause(now.saturating_sub(self.read_at), longest)
     }
 
-    /// Takes records that outlived the lapse of a target that is gone for good ones. True
-    /// when the book changed.
+    /// Makes restored targets usable whose records exist for longer than the record of a
+    /// target that is gone could. True when the registry changed.
     pub fn take_outlived(&mut self, now: Millis) -> bool {
         if self.outlived_at().is_none_or(|at| now < at) {
             return false;
         }
-        let returned = self.entries.values_mut();
-        let returned = returned.filter(|entry| entry.state == State::Returned);
-        returned.for_each(|entry| entry.state = State::Recorded);
+        let restored = self.entries.values_mut();
+        let restored = restored.filter(|entry| entry.state == State::Restored);
+        restored.for_each(|entry| entry.state = State::Recorded);
         self.changes += 1;
         true
     }
 
-    /// When [`TargetBook::take_outlived`] has something to do, if ever.
+    /// When [`TargetBook::take_outlived`] is next due; `None` without restored targets.
     pub fn outlived_at(&self) -> Option<Millis> {
         let mut entries = self.entries.values();
-        let has_returned = entries.any(|entry| entry.state == State::Returned);
-        // An entry that hasn't seen the era begin counts from when it read the records.
-        let began = self.era_began.unwrap_or(self.read);
-        has_returned.then_some(began + self.timing.lapse_ms)
+        let has_restored = entries.any(|entry| entry.state == State::Restored);
+        // Without a known beginning of the epoch, counts from the last full read.
+        let began = self.epoch_began_at.unwrap_or(self.read_at);
+        has_restored.then_some(began + self.timing.lapse_ms)
     }
 
-    /// Drops what is still missing some time after the store's return.
+    /// Removes unconfirmed targets whose time to write their record again is over. Returns
+    /// their ids.
     pub fn settle(&mut self, now: Millis) -> Vec<String> {
         if self.is_unsettled(now) {
             return Vec::new();
         }
-        let settled = self.keys_where(|_, entry| {
-            entry.state == State::Doubted && self.lost_until(entry).is_none_or(|at| at <= now)
+        let settled = self.ids_where(|_, entry| {
+            entry.state == State::Unconfirmed && self.lost_until(entry).is_none_or(|at| at <= now)
         });
         self.remove_all(&settled);
         settled
     }
 
-    /// Until when a record that the store lost may be written again.
+    /// Until when a record that the restored store lost may be written again; `None` if it
+    /// wasn't lost that way.
     fn lost_until(&self, entry: &Entry<R>) -> Option<Millis> {
         let is_lost = entry.at.era < self.listed.era;
-        let began = self.era_began.filter(|_| is_lost)?;
+        let began = self.epoch_began_at.filter(|_| is_lost)?;
         Some(began + self.timing.lost_ms)
     }
 
-    /// Incarnations in the book that fit.
-    fn keys_where(&self, fits: impl Fn(&str, &Entry<R>) -> bool) -> Vec<String> {
+    fn ids_where(&self, predicate: impl Fn(&str, &Entry<R>) -> bool) -> Vec<String> {
         self.entries
             .iter()
-            .filter(|(incarnation, entry)| fits(incarnation, entry))
-            .map(|(incarnation, _)| incarnation.clone())
+            .filter(|(id, entry)| predicate(id, entry))
+            .map(|(id, _)| id.clone())
             .collect()
     }
 
-    fn remove_all(&mut self, incarnations: &[String]) {
-        for incarnation in incarnations {
-            self.remove(incarnation);
+    fn remove_all(&mut self, ids: &[String]) {
+        for id in ids {
+            self.remove(id);
         }
     }
 
-    /// A target is gone.
-    fn remove(&mut self, incarnation: &str) {
-        if let Some(entry) = self.entries.remove(incarnation) {
-            self.gone.add(incarnation, &entry);
+    fn remove(&mut self, id: &str) {
+        if let Some(entry) = self.entries.remove(id) {
+            self.removed.add(id, &entry);
             self.changes += 1;
         }
     }
 
-    /// When [`TargetBook::settle`] has something to do, if ever.
+    /// When [`TargetBook::settle`] is next due; `None` without unconfirmed targets or while the
+    /// store is unreachable.
     pub fn settles_at(&self) -> Option<Millis> {
-        let StoreState::Back(since) = self.store else {
+        let StoreState::Reachable(since) = self.store else {
             return None;
         };
-        let settled = since + self.timing.return_ms;
-        let doubted = self.entries.values();
-        let doubted = doubted.filter(|entry| entry.state == State::Doubted);
-        doubted
-            .map(|entry| self.lost_until(entry).unwrap_or(0).max(settled))
+        let settles = since + self.timing.return_ms;
+        let unconfirmed = self.entries.values();
+        let unconfirmed = unconfirmed.filter(|entry| entry.state == State::Unconfirmed);
+        unconfirmed
+            .map(|entry| self.lost_until(entry).unwrap_or(0).max(settles))
             .min()
     }
 
@@ -351,37 +335,36 @@
         self.usable_at().map(|(_, record)| record)
     }
 
-    /// The same, each with the position of its last change.
+    /// Targets that may get new work, each with the position of its record's last change.
     pub fn usable_at(&self) -> impl Iterator<Item = (Position, &R)> {
         let usable = self.entries.values();
         let usable = usable.filter(|entry| entry.state.is_usable());
         usable.map(|entry| (entry.at, &entry.record))
     }
 
-    /// Every target that the store has or that is doubted, leaving ones included, with the
-    /// position of its last change. One that had gone and whose record is back is among
-    /// them: whoever is told decides on it by what it knows itself.
+    /// Every registered target with the position of its record's last change. Includes draining
+    /// and restored ones; the receiving entry decides on them from its own state.
     pub fn all(&self) -> impl Iterator<Item = (Position, &R)> {
         self.entries.values().map(|entry| (entry.at, &entry.record))
     }
 
-    /// A number that is another one whenever an entry has changed: what was worked out from
-    /// the book holds as long as it stays.
+    /// Number of changes so far. Values derived from the registry are valid while it is
+    /// unchanged.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
     /// True when the store doesn't answer.
     pub fn is_store_away(&self) -> bool {
-        self.store == StoreState::Away
+        self.store == StoreState::Unreachable
     }
 
-    /// Targets in the book, leaving ones included.
+    /// Number of registered targets, draining ones included.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// True when no target is known.
+    /// True when no target is registered.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- /dev/null
+++ b/crates/fleet/src/target_book/removed.rs
@@ -0,0 +1,87 @@
+//! Remembers target incarnations whose records were removed.
+//!
+//! Records of such an incarnation written before its removal are ignored, including those
+//! that a store restored from an older copy contains again.
+
+use std::collections::{BTreeMap, VecDeque};
+
+use super::entry::{Entry, State};
+use super::Told;
+use crate::Position;
+
+/// Removed incarnations that are remembered; exceeds the removals within the time span that a
+/// restored store may have lost.
+const MAX_REMOVED: usize = 4_096;
+
+/// An incarnation whose record was removed.
+#[derive(Debug, Clone)]
+pub(super) struct Removed {
+    pub incarnation: u64,
+    /// Position as of which it was removed.
+    pub at: Position,
+    /// It was draining when it was removed.
+    pub was_draining: bool,
+    /// Sequence number of the removal.
+    number: u64,
+}
+
+/// The last removed incarnation of each target, by target id.
+#[derive(Debug, Clone, Default)]
+pub(super) struct RemovedIncarnations {
+    by_id: BTreeMap<String, Removed>,
+    /// Sequence number and target id, in order of removal.
+    order: VecDeque<(u64, String)>,
+    next_number: u64,
+}
+
+impl RemovedIncarnations {
+    /// Adds a removed target.
+    pub fn add<R>(&mut self, id: &str, entry: &Entry<R>) {
+        let number = self.next_number;
+        self.next_number += 1;
+        let removed = Removed {
+            incarnation: entry.incarnation,
+            at: entry.at.max(entry.missing_at),
+            was_draining: entry.state == State::Draining,
+            number,
+        };
+        self.by_id.insert(id.to_string(), removed);
+        self.order.push_back((number, id.to_string()));
+        while self.order.len() > MAX_REMOVED {
+            self.forget_oldest();
+        }
+    }
+
+    fn forget_oldest(&mut self) {
+        let Some((number, id)) = self.order.pop_front() else {
+            return;
+        };
+        if self
+            .by_id
+            .get(&id)
+            .is_some_and(|removed| removed.number == number)
+        {
+            self.by_id.remove(&id);
+        }
+    }
+
+    /// The last removed incarnation of a target.
+    pub fn last(&self, id: &str) -> Option<&Removed> {
+        self.by_id.get(id)
+    }
+
+    /// True when a record predates the last removal: it was delayed, or comes from an entry
+    /// that hasn't settled the removal yet.
+    pub fn is_outdated(&self, id: &str, meta: &Told) -> bool {
+        let removed = self.last(id);
+        removed.is_some_and(|removed| (removed.incarnation, removed.at) >= (meta.start, meta.at))
+    }
+
+    /// Records that a removed incarnation was draining.
+    pub fn mark_draining(&mut self, id: &str, incarnation: u64) {
+        let removed = self.by_id.get_mut(id);
+        if let Some(removed) = removed.filter(|removed| removed.incarnation == incarnation) {
+            removed.was_draining = true;
+        }
+    }
+}
--- a/crates/fleet/src/throttle.rs
+++ b/crates/fleet/src/throttle.rs
@@ -1,7 +1,7 @@
-//! Spaces messages on one subject that may change with every answer.
+//! Rate limit for messages on subjects that may change with every reply.
 //!
-//! The first is sent at once; what comes soon after it is sent together, once a pause is
-//! over.
+//! The first change of a subject is sent at once; later changes are combined and sent when a
+//! pause has ended.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -9,32 +9,32 @@
 
 use crate::Millis;
 
-/// When something that has just changed is to be told.
+/// When to send a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Tell {
     Now,
-    /// At this moment, by whoever was told so.
+    /// The caller that receives this sends the message at the given time.
     At(Millis),
-    /// Somebody tells it soon.
+    /// A message that includes the change is already scheduled.
     IsDue,
 }
 
-/// When each subject was told last, and whether it is to be told again.
+/// The current pause of each subject.
 #[derive(Debug)]
 pub struct Throttle<K> {
     pause_ms: Millis,
-    /// Until when the pause of a subject lasts; its next message may be due then.
     pauses: RefCell<HashMap<K, Pause>>,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Pause {
     until: Millis,
-    is_due: bool,
+    /// A message is scheduled for the end of the pause.
+    is_scheduled: bool,
 }
 
 impl<K: Eq + Hash + Clone> Throttle<K> {
-    /// Spaces messages on a subject by a pause.
+    /// Sends messages on one subject at least `pause_ms` apart.
     pub fn new(pause_ms: Millis) -> Self {
         Throttle {
             pause_ms,
@@ -42,24 +42,24 @@
         }
     }
 
-    /// A subject changed.
+    /// Returns when to send a change of a subject.
     pub fn changed(&self, now: Millis, subject: &K) -> Tell {
         let mut pauses = self.pauses.borrow_mut();
-        pauses.retain(|_, pause| pause.is_due || now < pause.until);
+        pauses.retain(|_, pause| pause.is_scheduled || now < pause.until);
         match pauses.get_mut(subject) {
             None => {
                 pauses.insert(subject.clone(), self.pause(now));
                 Tell::Now
             }
-            Some(pause) if pause.is_due => Tell::IsDue,
+            Some(pause) if pause.is_scheduled => Tell::IsDue,
             Some(pause) => {
-                pause.is_due = true;
+                pause.is_scheduled = true;
                 Tell::At(pause.until)
             }
         }
     }
 
-    /// The moment has come at which a subject was to be told.
+    /// Starts the next pause after a scheduled message was sent.
     pub fn told(&self, now: Millis, subject: &K) {
         let pause = self.pause(now);
         self.pauses.borrow_mut().insert(subject.clone(), pause);
@@ -68,7 +68,7 @@
     fn pause(&self, now: Millis) -> Pause {
         Pause {
             until: now + self.pause_ms,
-            is_due: false,
+            is_scheduled: false,
         }
     }
 }
--- a/crates/fleet/src/watch_log.rs
+++ b/crates/fleet/src/watch_log.rs
@@ -1,22 +1,21 @@
-//! The changes that one entry heard from the store, for others that follow it.
+//! Log of the changes that one entry received from the store, for entries that follow it.
 //!
-//! It answers like the store's own watch: what changed after a position, or that this
-//! isn't known any more. So an entry that follows another one can go on from its own
-//! position at any other source, whose positions are the same. The log holds every change
-//! between two positions of one era, and no more than so many.
+//! Like the store's own watch it returns the changes after a position, or reports that they
+//! are no longer known. Positions are the same at every source, so a follower can continue at
+//! another one. The log holds every change between two positions of one epoch, up to a limit.
 
 use std::collections::VecDeque;
 
 use crate::Position;
 
-/// What a log knows of the changes after a position.
+/// The changes that a log holds after a position.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Since<C> {
-    /// All changes after it, in order, up to a position.
+    /// All changes after it, in order, up to `to`.
     Changes { changes: Vec<C>, to: Position },
-    /// Nothing is known beyond it.
+    /// The log has no later changes.
     NothingNew,
-    /// The log begins later.
+    /// The log begins at a later position.
     Unknown,
 }
 
@@ -25,49 +24,48 @@
 pub struct WatchLog<C> {
     /// Changes after this position are in the log.
     from: Position,
-    /// And up to this one.
+    /// Changes up to this position are in the log.
     to: Position,
-    /// Each with its position.
+    /// Each change with its position.
     changes: VecDeque<(Position, C)>,
-    most: usize,
+    capacity: usize,
 }
 
 impl<C: Clone> WatchLog<C> {
-    /// An empty log that holds so many changes at the most.
-    pub fn new(most: usize) -> Self {
+    /// An empty log that holds at most `capacity` changes.
+    pub fn new(capacity: usize) -> Self {
         WatchLog {
             from: Position::default(),
             to: Position::default(),
             changes: VecDeque::new(),
-            most,
+            capacity,
         }
     }
 
-    /// Everything was read as of a position; what led there isn't known.
+    /// Clears the log after a full read as of a position.
     pub fn begin(&mut self, at: Position) {
         self.from = at;
         self.to = at;
         self.changes.clear();
     }
 
-    /// Takes the changes that follow those in the log, each with its position, up to a
-    /// position.
+    /// Appends all changes after [`WatchLog::known_to`] up to `to`, each with its position.
     pub fn extend(&mut self, changes: impl IntoIterator<Item = (Position, C)>, to: Position) {
         self.changes.extend(changes);
         self.to = self.to.max(to);
-        while self.changes.len() > self.most {
+        while self.changes.len() > self.capacity {
             if let Some((dropped, _)) = self.changes.pop_front() {
                 self.from = dropped;
             }
         }
     }
 
-    /// All changes up to this position are in the log.
+    /// The position up to which the log holds all changes.
     pub fn known_to(&self) -> Position {
         self.to
     }
 
-    /// What changed after a position.
+    /// The changes after a position.
     pub fn since(&self, after: Position) -> Since<C> {
         if after < self.from {
             return Since::Unknown;
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -1,27 +1,27 @@
-//! Messages between entries, carried by `rmp-serde` over HTTP.
+//! Gossip messages between entries, encoded with `rmp-serde` and sent over HTTP.
 
 use serde::{Deserialize, Serialize};
 
-use crate::leaving::LeavingHost;
+use crate::host_view::LeavingHost;
 use crate::member::Member;
 
-/// Member records in one exchange that are still news.
-pub const MAX_NEWS: usize = 16;
-/// Records in one exchange that are repeated to be sure.
-pub const MAX_REPEATED: usize = 2;
-/// Leaving hosts in one exchange.
-pub const MAX_LEAVING: usize = 16;
+/// Largest number of new member records in one exchange.
+pub const MAX_NEW_RECORDS: usize = 16;
+/// Member records in one exchange when none is new.
+pub const MAX_REPEATED_RECORDS: usize = 2;
+/// Largest number of leaving hosts in one exchange.
+pub const MAX_LEAVING_HOSTS: usize = 16;
 
 /// One half of an exchange; the reply has the same shape.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Exchange {
-    /// The sender's own record, always fresh.
+    /// The sender's own, current record.
     pub from: Member,
-    /// The sender has just started and wants every record, once.
+    /// The sender has just started and requests every record.
     pub wants_all: bool,
-    /// `members` are all that the sender knows.
+    /// `members` holds all records of the sender.
     pub holds_all: bool,
-    /// Records that the sender has passed on least often.
+    /// The records that the sender has sent least often.
     pub members: Vec<Member>,
     pub leaving: Vec<LeavingHost>,
 }
--- a/crates/fleet/tests/suite/accept.rs
+++ b/crates/fleet/tests/suite/accept.rs
@@ -1,30 +1,28 @@
-//! Racing applies against a model of the store that loses answers and delays
-//! writes.
+//! Concurrent applies against a model of a store that loses replies and delays writes.
 //!
-//! Oracle: the list of heads that were ever in the store. Revisions grow by
-//! one; an apply id stands there at most once; what an operator was told is
-//! what the list says.
+//! Revisions must increase by one, an apply id may be accepted only once, and each operator's
+//! outcome must match the store's history.
 
 use hollowsail_config::chunk::Head;
 use hollowsail_fleet::{Accept, AcceptStep, Accepted, Apply, HeadAnswer};
 use proptest::prelude::*;
 
-/// What the network does with one call.
+/// Delivery of one call.
 #[derive(Debug, Clone, Copy)]
-enum Fate {
-    Answered,
-    AnswerLost,
-    /// Takes effect after some other calls; the answer is lost.
+enum Delivery {
+    Replied,
+    ReplyLost,
+    /// Takes effect after later calls; the reply is lost.
     Delayed,
     NotSent,
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn delivery() -> impl Strategy<Value = Delivery> {
     prop_oneof![
-        6 => Just(Fate::Answered),
-        2 => Just(Fate::AnswerLost),
-        2 => Just(Fate::Delayed),
-        1 => Just(Fate::NotSent),
+        6 => Just(Delivery::Replied),
+        2 => Just(Delivery::ReplyLost),
+        2 => Just(Delivery::Delayed),
+        1 => Just(Delivery::NotSent),
     ]
 }
 
@@ -45,10 +43,10 @@
         HeadAnswer::Written
     }
 
-    fn call(&mut self, step: &AcceptStep, fate: Fate) -> HeadAnswer {
-        let answer = match (step, fate) {
-            (_, Fate::NotSent) => return HeadAnswer::NotDone,
-            (AcceptStep::WriteHead { over, head }, Fate::Delayed) => {
+    fn call(&mut self, step: &AcceptStep, delivery: Delivery) -> HeadAnswer {
+        let reply = match (step, delivery) {
+            (_, Delivery::NotSent) => return HeadAnswer::NotDone,
+            (AcceptStep::WriteHead { over, head }, Delivery::Delayed) => {
                 self.delayed.push((*over, head.clone()));
                 return HeadAnswer::Lost;
             }
@@ -58,36 +56,37 @@
                 HeadAnswer::Read(found)
             }
         };
-        match (step, fate) {
-            (AcceptStep::ReadHead, Fate::AnswerLost | Fate::Delayed) => HeadAnswer::NotDone,
-            (_, Fate::AnswerLost) => HeadAnswer::Lost,
-            _ => answer,
+        match (step, delivery) {
+            (AcceptStep::ReadHead, Delivery::ReplyLost | Delivery::Delayed) => HeadAnswer::NotDone,
+            (_, Delivery::ReplyLost) => HeadAnswer::Lost,
+            _ => reply,
         }
     }
 }
 
-/// Scheduling: which operator's call is next, or which delayed write arrives.
+/// Next step of the schedule.
 #[derive(Debug, Clone)]
-enum Turn {
+enum Step {
     Call {
         operator: usize,
-        fate: Fate,
+        delivery: Delivery,
     },
-    Arrive {
-        at: usize,
+    /// A delayed write takes effect.
+    Deliver {
+        index: usize,
     },
-    /// An operator whose apply has ended begins another on what is in force,
-    /// or, when it ended in doubt, the same again.
-    Again {
+    /// An operator whose apply has ended starts another one, or resends one with unknown
+    /// outcome.
+    Restart {
         operator: usize,
     },
 }
 
-fn turn() -> impl Strategy<Value = Turn> {
+fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        8 => (0usize..3, fate()).prop_map(|(operator, fate)| Turn::Call { operator, fate }),
-        2 => (0usize..4).prop_map(|at| Turn::Arrive { at }),
-        2 => (0usize..3).prop_map(|operator| Turn::Again { operator }),
+        8 => (0usize..3, delivery()).prop_map(|(operator, delivery)| Step::Call { operator, delivery }),
+        2 => (0usize..4).prop_map(|index| Step::Deliver { index }),
+        2 => (0usize..3).prop_map(|operator| Step::Restart { operator }),
     ]
 }
 
@@ -95,7 +94,7 @@
     id: String,
     base: u64,
     accept: Accept,
-    ended: Option<Accepted>,
+    outcome: Option<Accepted>,
 }
 
 fn begin(id: String, base: u64, resent: bool) -> Operator {
@@ -109,7 +108,7 @@
         accept: Accept::new(apply, 3),
         id,
         base,
-        ended: None,
+        outcome: None,
     }
 }
 
@@ -118,14 +117,20 @@
         .history
         .iter()
         .find(|head| head.apply_id == operator.id);
-    match &operator.ended {
+    match &operator.outcome {
         Some(Accepted::Yes { revision, .. }) => {
-            let head = accepted.expect("told accepted, and it is not in the store");
+            let head = accepted.expect("outcome is accepted, but the store has no such head");
             assert_eq!(head.revision, *revision);
-            assert_eq!(head.parent, operator.base, "accepted on another base");
+            assert_eq!(head.parent, operator.base, "accepted on a different base");
         }
-        Some(Accepted::Conflict(_)) => assert!(accepted.is_none(), "told conflict, yet accepted"),
-        Some(Accepted::Unavailable) => assert!(accepted.is_none(), "told unchanged, yet accepted"),
+        Some(Accepted::Conflict(_)) => assert!(
+            accepted.is_none(),
+            "outcome is conflict, but it was accepted"
+        ),
+        Some(Accepted::Unavailable) => assert!(
+            accepted.is_none(),
+            "outcome is unavailable, but it was accepted"
+        ),
         Some(Accepted::Unknown) | None => {}
     }
 }
@@ -133,31 +138,31 @@
 proptest! {
     #![proptest_config(crate::config(11))]
     #[test]
-    fn operators_are_told_what_the_store_holds(turns in prop::collection::vec(turn(), 1..120)) {
+    fn outcomes_match_store_history(steps in prop::collection::vec(step(), 1..120)) {
         let mut store = Store::default();
         let mut next = 0;
         let mut new_id = move || { next += 1; format!("id-{next}") };
         let mut operators: Vec<Operator> = (0..3).map(|_| begin(new_id(), 0, false)).collect();
         let mut past: Vec<Operator> = Vec::new();
-        for turn in turns {
-            match turn {
-                Turn::Call { operator, fate } => {
+        for step in steps {
+            match step {
+                Step::Call { operator, delivery } => {
                     let operator = &mut operators[operator];
-                    if operator.ended.is_none() {
-                        let answer = store.call(&operator.accept.step().clone(), fate);
-                        operator.ended = operator.accept.answer(answer);
+                    if operator.outcome.is_none() {
+                        let reply = store.call(&operator.accept.step().clone(), delivery);
+                        operator.outcome = operator.accept.answer(reply);
                     }
                 }
-                Turn::Arrive { at } => {
-                    if at < store.delayed.len() {
-                        let (over, head) = store.delayed.remove(at);
+                Step::Deliver { index } => {
+                    if index < store.delayed.len() {
+                        let (over, head) = store.delayed.remove(index);
                         store.write(over, &head);
                     }
                 }
-                Turn::Again { operator } => {
+                Step::Restart { operator } => {
                     let base = store.history.last().map_or(0, |head| head.revision);
                     let slot = &mut operators[operator];
-                    let next = match &slot.ended {
+                    let next = match &slot.outcome {
                         None => continue,
                         Some(Accepted::Unknown) => begin(slot.id.clone(), slot.base, true),
                         Some(_) => begin(new_id(), base, false),
@@ -167,8 +172,8 @@
             }
             operators.iter().chain(&past).for_each(|operator| check(&store, operator));
         }
-        for (at, head) in store.history.iter().enumerate() {
-            prop_assert_eq!(head.revision, at as u64 + 1);
+        for (index, head) in store.history.iter().enumerate() {
+            prop_assert_eq!(head.revision, index as u64 + 1);
             let same = store.history.iter().filter(|h| h.apply_id == head.apply_id).count();
             prop_assert_eq!(same, 1, "an apply id was accepted twice");
         }
--- a/crates/fleet/tests/suite/standing.rs
+++ b/crates/fleet/tests/suite/connectivity.rs
@@ -1,4 +1,4 @@
-//! When an entry may not know what is in force.
+//! Tests of when an entry is isolated.
 
 use hollowsail_fleet::{Standing, StandingRule};
 
@@ -8,7 +8,7 @@
 };
 
 #[test]
-fn either_store_or_peers_keep_an_entry_in_touch() {
+fn store_or_peer_contact_keeps_entry_in_touch() {
     assert_eq!(RULE.judge(500, true, Some(450), None), Standing::InTouch);
     assert_eq!(RULE.judge(500, true, None, Some(450)), Standing::InTouch);
     assert_eq!(
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn without_a_configuration_it_is_starting_whatever_it_reaches() {
+fn entry_without_configuration_is_starting() {
     assert_eq!(
         RULE.judge(500, false, Some(500), Some(500)),
         Standing::Starting
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn an_entry_alone_by_its_settings_is_never_isolated() {
+fn standalone_entry_is_never_isolated() {
     let rule = StandingRule {
         alone_by_settings: true,
         ..RULE
--- a/crates/fleet/tests/suite/groups.rs
+++ b/crates/fleet/tests/suite/groups.rs
@@ -1,14 +1,14 @@
-//! Groups of targets, as targets come and go.
+//! Tests of the groups of targets, as targets are added and removed.
 
 use hollowsail_fleet::groups;
 
 const SIZE: usize = 32;
 
 fn names(count: usize) -> Vec<String> {
-    (0..count).map(|at| format!("i-{at:04x}")).collect()
+    (0..count).map(|index| format!("i-{index:04x}")).collect()
 }
 
-/// Targets that are in another group once so many of them are there.
+/// Number of targets whose group differs between two target counts.
 fn moved(names: &[String], before: usize, after: usize) -> usize {
     let (before, after) = (groups::count(before, SIZE), groups::count(after, SIZE));
     let moves = |name: &&String| groups::place_of(name, before) != groups::place_of(name, after);
@@ -16,31 +16,31 @@
 }
 
 #[test]
-fn a_target_that_comes_or_goes_moves_no_other_one() {
+fn unchanged_group_count_moves_no_target() {
     let names = names(140);
-    for there in 129..160 {
-        assert_eq!(moved(&names, 140, there), 0, "{there} targets");
+    for after in 129..160 {
+        assert_eq!(moved(&names, 140, after), 0, "{after} targets");
     }
 }
 
 #[test]
-fn one_group_more_takes_only_its_own() {
+fn additional_group_moves_only_its_own() {
     let names = names(140);
     let moved = moved(&names, 160, 161);
-    assert!((10..=40).contains(&moved), "{moved} of 140");
+    assert!((10..=40).contains(&moved), "{moved} of 140 targets moved");
 }
 
 #[test]
-fn groups_are_about_as_large_as_asked() {
+fn groups_have_about_the_requested_size() {
     let names = names(320);
-    let of = groups::count(names.len(), SIZE);
-    assert_eq!(of, 10);
-    for at in 0..of {
+    let count = groups::count(names.len(), SIZE);
+    assert_eq!(count, 10);
+    for group in 0..count {
         let size = names
             .iter()
-            .filter(|name| groups::place_of(name, of) == at)
+            .filter(|name| groups::place_of(name, count) == group)
             .count();
-        assert!((16..=52).contains(&size), "{size} in group {at}");
+        assert!((16..=52).contains(&size), "{size} targets in group {group}");
     }
 }
 
--- a/crates/fleet/tests/suite/leaving.rs
+++ b/crates/fleet/tests/suite/leaving.rs
@@ -1,4 +1,4 @@
-//! What is known of hosts, against an oracle of two sets.
+//! Tests of the host view, against a reference model.
 
 use std::collections::HashSet;
 
@@ -7,78 +7,79 @@
 
 #[derive(Debug, Clone)]
 enum Event {
-    /// A list in which some hosts are replaced, leaving or missing.
+    /// Incarnation, leaving and missing flag of each host.
     List(Vec<(u64, bool, bool)>),
-    Learn(usize),
+    ByName(usize),
     FromPeer(usize, u64),
 }
 
 const HOSTS: [&str; 4] = ["a", "b", "c", "d"];
 
 fn event() -> impl Strategy<Value = Event> {
-    let line = (0u64..3, any::<bool>(), prop::bool::weighted(0.2));
+    let row = (0u64..3, any::<bool>(), prop::bool::weighted(0.2));
     prop_oneof![
-        prop::collection::vec(line, HOSTS.len()).prop_map(Event::List),
-        (0..HOSTS.len()).prop_map(Event::Learn),
-        (0..HOSTS.len(), 0u64..3).prop_map(|(host, inc)| Event::FromPeer(host, inc)),
+        prop::collection::vec(row, HOSTS.len()).prop_map(Event::List),
+        (0..HOSTS.len()).prop_map(Event::ByName),
+        (0..HOSTS.len(), 0u64..3)
+            .prop_map(|(host, incarnation)| Event::FromPeer(host, incarnation)),
     ]
 }
 
 proptest! {
     #![proptest_config(crate::config(21))]
     #[test]
-    fn an_incarnation_that_leaves_never_takes_work_again(events in prop::collection::vec(event(), 1..60)) {
+    fn leaving_incarnation_never_takes_work(events in prop::collection::vec(event(), 1..60)) {
         let mut view = HostView::default();
         let mut listed = [0u64; HOSTS.len()];
         let mut leaving: HashSet<(usize, u64)> = HashSet::new();
         for event in events {
             match event {
-                Event::List(lines) => {
-                    let hosts: Vec<ListedHost> = lines
+                Event::List(rows) => {
+                    let hosts: Vec<ListedHost> = rows
                         .iter()
                         .enumerate()
                         .filter(|(_, (_, _, missing))| !missing)
-                        .map(|(at, (incarnation, leaving, _))| ListedHost {
-                            name: HOSTS[at].into(),
+                        .map(|(index, (incarnation, leaving, _))| ListedHost {
+                            name: HOSTS[index].into(),
                             incarnation: *incarnation,
                             leaving: *leaving,
                         })
                         .collect();
                     if view.observe(&hosts) {
-                        for (at, (incarnation, leaves, missing)) in lines.iter().enumerate() {
+                        for (index, (incarnation, is_leaving, missing)) in rows.iter().enumerate() {
                             if !missing {
-                                listed[at] = *incarnation;
-                                if *leaves {
-                                    leaving.insert((at, *incarnation));
+                                listed[index] = *incarnation;
+                                if *is_leaving {
+                                    leaving.insert((index, *incarnation));
                                 }
                             }
                         }
                     }
                 }
-                Event::Learn(at) => {
-                    let host = HOSTS[at];
+                Event::ByName(index) => {
+                    let host = HOSTS[index];
                     let known = !view.takes_work(host);
                     view.learn_by_name(host);
                     prop_assert!(!view.takes_work(host));
                     if !known {
-                        leaving.insert((at, listed[at]));
+                        leaving.insert((index, listed[index]));
                     }
                 }
-                Event::FromPeer(at, incarnation) => {
-                    view.learn(LeavingHost { name: HOSTS[at].into(), incarnation });
-                    leaving.insert((at, incarnation));
+                Event::FromPeer(index, incarnation) => {
+                    view.learn(LeavingHost { name: HOSTS[index].into(), incarnation });
+                    leaving.insert((index, incarnation));
                 }
             }
-            for (at, host) in HOSTS.iter().enumerate() {
-                if leaving.contains(&(at, listed[at])) {
-                    prop_assert!(!view.takes_work(host), "{host} took work again");
+            for (index, host) in HOSTS.iter().enumerate() {
+                if leaving.contains(&(index, listed[index])) {
+                    prop_assert!(!view.takes_work(host), "{host} takes work although it is leaving");
                 }
             }
         }
     }
 }
 
-fn live(names: &[&str]) -> Vec<ListedHost> {
+fn listed_hosts(names: &[&str]) -> Vec<ListedHost> {
     names
         .iter()
         .map(|name| ListedHost {
@@ -90,41 +91,41 @@
 }
 
 #[test]
-fn a_list_that_lost_most_hosts_is_not_believed() {
+fn list_without_most_hosts_is_rejected() {
     let mut view = HostView::default();
-    assert!(view.observe(&live(&HOSTS)));
+    assert!(view.observe(&listed_hosts(&HOSTS)));
     for _ in 0..5 {
         assert!(!view.observe(&[]));
-        assert!(!view.observe(&live(&["a"])));
+        assert!(!view.observe(&listed_hosts(&["a"])));
     }
     assert!(HOSTS.iter().all(|host| view.takes_work(host)));
 }
 
 #[test]
-fn a_host_is_gone_only_after_it_is_missing_repeatedly() {
+fn host_is_gone_after_two_reads_without_it() {
     let mut view = HostView::default();
-    view.observe(&live(&HOSTS));
-    view.observe(&live(&["a", "b", "c"]));
+    view.observe(&listed_hosts(&HOSTS));
+    view.observe(&listed_hosts(&["a", "b", "c"]));
     assert!(view.takes_work("d"), "one read is not enough");
-    view.observe(&live(&["a", "b", "c"]));
+    view.observe(&listed_hosts(&["a", "b", "c"]));
     assert!(!view.takes_work("d"));
-    view.observe(&live(&HOSTS));
+    view.observe(&listed_hosts(&HOSTS));
     assert!(view.takes_work("d"), "it is listed again");
 }
 
 #[test]
-fn a_host_the_list_never_showed_takes_work() {
+fn unlisted_host_takes_work() {
     let mut view = HostView::default();
-    view.observe(&live(&["a"]));
+    view.observe(&listed_hosts(&["a"]));
     assert!(view.takes_work("new"));
 }
 
 #[test]
-fn reading_the_same_list_again_counts_too() {
+fn unchanged_read_counts_as_missing() {
     let mut view = HostView::default();
-    view.observe(&live(&HOSTS));
+    view.observe(&listed_hosts(&HOSTS));
     assert!(view.is_settled());
-    view.observe(&live(&["a", "b", "c"]));
+    view.observe(&listed_hosts(&["a", "b", "c"]));
     assert!(view.takes_work("d") && !view.is_settled());
     view.read_again();
     assert!(!view.takes_work("d") && view.is_settled());
--- a/crates/fleet/tests/suite/live_runs.rs
+++ b/crates/fleet/tests/suite/live_runs.rs
@@ -1,4 +1,4 @@
-//! Which run of each host is live.
+//! Tests of which run of each host is live.
 
 use hollowsail_fleet::LiveRuns;
 use proptest::prelude::*;
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_run_that_was_heard_takes_the_place_of_the_one_before() {
+fn observed_run_replaces_previous() {
     let mut live = listed(&[('a', 1), ('b', 1)]);
     live.heard(('a', 1), ('a', 2));
     assert_eq!(live.live(), [('a', 2), ('b', 1)]);
@@ -22,45 +22,49 @@
 }
 
 #[test]
-fn two_hosts_heard_one_after_the_other_both_keep_their_new_runs() {
+fn observed_runs_of_two_hosts_are_both_kept() {
     let mut live = listed(&[('a', 1), ('b', 1)]);
     live.heard(('a', 1), ('a', 2));
     live.heard(('b', 1), ('b', 2));
     assert_eq!(live.live(), [('a', 2), ('b', 2)]);
     live.take_listed(vec![('a', 1), ('b', 1)]);
-    assert_eq!(live.live(), [('a', 2), ('b', 2)], "the store lags behind");
+    assert_eq!(
+        live.live(),
+        [('a', 2), ('b', 2)],
+        "the store still lists the previous runs"
+    );
 }
 
 #[test]
-fn the_stores_word_counts_once_it_has_caught_up() {
+fn listed_run_counts_once_store_catches_up() {
     let mut live = listed(&[('a', 1)]);
     live.heard(('a', 1), ('a', 2));
     live.take_listed(vec![('a', 2)]);
     assert_eq!(live.live(), [('a', 2)]);
     live.take_listed(vec![('a', 1)]);
-    assert_eq!(live.live(), [('a', 1)], "it was forgotten");
+    assert_eq!(live.live(), [('a', 1)], "the observed run was dropped");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: crate::cases(), failure_persistence: None, ..Default::default() })]
     #[test]
-    fn each_host_is_live_once_by_its_newest_heard_run(
+    fn live_run_is_newest_observed(
         steps in prop::collection::vec((0u8..4, prop::bool::ANY), 1..60),
     ) {
         let hosts = ['a', 'b', 'c', 'd'];
         let mut live = listed(&hosts.map(|host| (host, 0)));
-        let mut heard = [0; 4];
-        let mut told = [0; 4];
+        let mut observed = [0; 4];
+        let mut listed_runs = [0; 4];
         for (host, store_catches_up) in steps {
             let host = usize::from(host);
             if store_catches_up {
-                told[host] = heard[host];
-                live.take_listed((0..4).map(|at| (hosts[at], told[at])).collect());
+                listed_runs[host] = observed[host];
+                live.take_listed((0..4).map(|index| (hosts[index], listed_runs[index])).collect());
             } else {
-                live.heard((hosts[host], heard[host]), (hosts[host], heard[host] + 1));
-                heard[host] += 1;
+                live.heard((hosts[host], observed[host]), (hosts[host], observed[host] + 1));
+                observed[host] += 1;
             }
-            let expected: Vec<Run> = (0..4).map(|at| (hosts[at], heard[at])).collect();
+            let expected: Vec<Run> = (0..4).map(|index| (hosts[index], observed[index])).collect();
             prop_assert_eq!(live.live(), expected);
         }
     }
--- a/crates/fleet/tests/suite/main.rs
+++ b/crates/fleet/tests/suite/main.rs
@@ -1,25 +1,24 @@
-//! Membership, leaving hosts, and accepting configurations, against simple
-//! oracles.
+//! Tests of the membership and of the shared state, mostly against reference models.
 
 mod accept;
-mod cold_spells;
-mod emptied_halls;
+mod connectivity;
+mod evacuated_halls;
 mod groups;
-mod large_book;
+mod large_registry;
 mod leaving;
 mod live_runs;
 mod membership;
 mod newest;
 mod ownership;
-mod readers;
-mod returning_store;
-mod standing;
+mod restored_store;
+mod store_followers;
 mod target_book;
 mod throttle;
+mod warm_ups;
 mod watch_log;
 mod watch_pause;
 
-/// Cases per property; the long mode sets more.
+/// Cases per property; `HOLLOWSAIL_CASES` overrides the default.
 pub fn cases() -> u32 {
     std::env::var("HOLLOWSAIL_CASES")
         .ok()
@@ -27,7 +26,7 @@
         .unwrap_or(256)
 }
 
-/// The same cases in every run.
+/// A configuration that generates the same cases in every run.
 pub fn config(seed: u64) -> proptest::test_runner::Config {
     proptest::test_runner::Config {
         cases: cases(),
--- a/crates/fleet/tests/suite/ownership.rs
+++ b/crates/fleet/tests/suite/ownership.rs
@@ -1,4 +1,4 @@
-//! Who owns what, among hosts of unlike sizes.
+//! Tests of owner assignment among hosts of different sizes.
 
 use hollowsail_fleet::ownership::{owner, Candidate};
 use proptest::prelude::*;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn small_hosts_own_nothing_while_a_large_one_lives() {
+fn small_hosts_own_nothing_beside_large_ones() {
     let entries = [
         entry("small-1", 10),
         entry("large-1", 200),
@@ -20,8 +20,9 @@
         entry("large-2", 150),
     ];
     for queue in 0..50 {
-        let at = owner(&format!("queue-{queue}"), entries.into_iter()).expect("there are some");
-        assert!(entries[at].capacity >= 150, "{}", entries[at].host);
+        let index =
+            owner(&format!("queue-{queue}"), entries.into_iter()).expect("there are candidates");
+        assert!(entries[index].capacity >= 150, "{}", entries[index].host);
     }
     let small = [entries[0], entries[2]];
     assert!(owner("queue-1", small.into_iter()).is_some());
@@ -29,7 +30,7 @@
 }
 
 #[test]
-fn a_slow_host_owns_nothing_unless_all_are_slow() {
+fn lagging_host_owns_nothing_unless_all_lag() {
     let mut entries = [entry("one", 200), entry("two", 200), entry("small", 10)];
     entries[0].is_slow = true;
     for queue in 0..50 {
@@ -38,28 +39,28 @@
     }
     entries.iter_mut().for_each(|entry| entry.is_slow = true);
     let owned = (0..50).filter_map(|queue| owner(&format!("queue-{queue}"), entries.into_iter()));
-    assert!(owned.into_iter().any(|at| at == 0));
+    assert!(owned.into_iter().any(|index| index == 0));
 }
 
 proptest! {
-    /// Whoever leaves takes only what it owned along, as long as the largest stays.
+    /// The removal of an entry must not change the owner of keys that it didn't own.
     #[test]
-    fn an_entry_that_leaves_moves_only_its_own(
+    fn removed_entry_moves_only_its_own_keys(
         capacities in prop::collection::vec(100u32..199, 2..12),
-        gone in any::<prop::sample::Index>(),
+        removed in any::<prop::sample::Index>(),
         queue in 0u32..1000,
     ) {
-        let hosts: Vec<String> = (0..capacities.len()).map(|at| format!("host-{at}")).collect();
+        let hosts: Vec<String> = (0..capacities.len()).map(|index| format!("host-{index}")).collect();
         let entries: Vec<Candidate> = hosts
             .iter()
             .zip(&capacities)
             .map(|(host, capacity)| entry(host, *capacity))
             .collect();
         let queue = format!("queue-{queue}");
-        let gone = gone.index(entries.len());
-        let before = entries[owner(&queue, entries.iter().copied()).expect("some")];
-        let left: Vec<Candidate> = entries.iter().copied().filter(|e| *e != entries[gone]).collect();
-        let after = left[owner(&queue, left.iter().copied()).expect("some")];
-        prop_assert!(before == entries[gone] || before == after);
+        let removed = removed.index(entries.len());
+        let before = entries[owner(&queue, entries.iter().copied()).expect("there are candidates")];
+        let remaining: Vec<Candidate> = entries.iter().copied().filter(|e| *e != entries[removed]).collect();
+        let after = remaining[owner(&queue, remaining.iter().copied()).expect("there are candidates")];
+        prop_assert!(before == entries[removed] || before == after);
     }
 }
--- a/crates/fleet/tests/suite/watch_log.rs
+++ b/crates/fleet/tests/suite/watch_log.rs
@@ -1,141 +1,139 @@
-//! Entries that follow other entries' logs, against all that changed at the store.
+//! Tests of entries that follow other entries' logs, against the store's changes.
 
 use hollowsail_fleet::{Position, Since, WatchLog};
 use proptest::prelude::*;
 
 use crate::config;
 
-/// Changes that a log holds here.
-const MOST: usize = 5;
+/// Capacity of the logs.
+const CAPACITY: usize = 5;
 
-/// A revision of a store that names no era.
+/// A revision of a store that reports no epoch.
 fn at(revision: u64) -> Position {
     Position::new(0, revision)
 }
 
-/// What happens next.
 #[derive(Debug, Clone)]
 enum Event {
-    /// Something changes at the store; not all of it is under the keys that are followed.
+    /// A key of the store changes, which may not be a followed one.
     Change { is_followed: bool },
-    /// The store comes back as it was so many changes ago, in a new era.
-    Return { lost: u64 },
-    /// A reader's watch tells it all up to so many revisions behind the newest; in a new
-    /// era it reads the list instead.
-    Watch { reader: usize, behind: u64 },
-    /// A reader reads the list anew: its history was gone.
-    Read { reader: usize },
-    /// The listener asks a reader, and an answer may be lost.
-    Ask { reader: usize, is_lost: bool },
+    /// The store is restored without its last changes, in a new epoch.
+    Restore { lost: u64 },
+    /// A store follower's watch returns all changes but the newest `behind` revisions; in a
+    /// new epoch it reads the list instead.
+    Watch { follower: usize, behind: u64 },
+    /// A store follower reads the list, because its history is gone.
+    Read { follower: usize },
+    /// The client polls a store follower; the reply may be lost.
+    Poll { follower: usize, is_lost: bool },
 }
 
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
         8 => any::<bool>().prop_map(|is_followed| Event::Change { is_followed }),
-        1 => (0..4u64).prop_map(|lost| Event::Return { lost }),
-        6 => (0..2usize, 0..3u64).prop_map(|(reader, behind)| Event::Watch { reader, behind }),
-        2 => (0..2usize).prop_map(|reader| Event::Read { reader }),
-        8 => (0..2usize, any::<bool>()).prop_map(|(reader, is_lost)| Event::Ask { reader, is_lost }),
+        1 => (0..4u64).prop_map(|lost| Event::Restore { lost }),
+        6 => (0..2usize, 0..3u64).prop_map(|(follower, behind)| Event::Watch { follower, behind }),
+        2 => (0..2usize).prop_map(|follower| Event::Read { follower }),
+        8 => (0..2usize, any::<bool>()).prop_map(|(follower, is_lost)| Event::Poll { follower, is_lost }),
     ]
 }
 
-/// A change of the followed keys: where, and which of all that were ever made it is.
+/// A change of a followed key: its position and its sequence number.
 type Change = (Position, u64);
 
-/// The store: its newest position, and the changes of the followed keys that it still has.
+/// The store: its newest position and the changes of followed keys that it still has.
 #[derive(Default)]
 struct Store {
     newest: Position,
     changed: Vec<Change>,
-    made: u64,
+    sequence: u64,
 }
 
 impl Store {
     fn change(&mut self, is_followed: bool) {
         self.newest.revision += 1;
-        self.made += 1;
+        self.sequence += 1;
         self.changed
-            .extend(is_followed.then_some((self.newest, self.made)));
+            .extend(is_followed.then_some((self.newest, self.sequence)));
     }
 
-    fn come_back(&mut self, lost: u64) {
+    fn restore(&mut self, lost: u64) {
         let revision = self.newest.revision.saturating_sub(lost);
         self.newest = Position::new(self.newest.era + 1, revision);
         self.changed.retain(|(at, _)| at.revision <= revision);
-        // What is left lies in the new era, at the same revisions.
+        // The remaining changes belong to the new epoch, at the same revisions.
         for (at, _) in &mut self.changed {
             at.era = self.newest.era;
         }
     }
 
     fn list(&self) -> Vec<u64> {
-        self.changed.iter().map(|(_, made)| *made).collect()
+        self.changed.iter().map(|(_, sequence)| *sequence).collect()
     }
 }
 
 proptest! {
     #![proptest_config(config(0x109))]
 
-    /// A listener that asks any readers in any order hears each change once and in order,
-    /// up to its position, unless it is told that a part isn't known; and nothing across
-    /// the end of an era.
+    /// A client that polls followers in any order must receive each change once and in order,
+    /// and no change of another epoch.
     #[test]
-    fn what_a_listener_hears_is_what_changed(
+    fn client_receives_every_change_once(
         events in proptest::collection::vec(event(), 1..80),
     ) {
         let mut store = Store::default();
-        let mut logs = [WatchLog::new(MOST), WatchLog::new(MOST)];
-        let mut told = [Position::default(); 2];
-        let mut heard: Vec<u64> = Vec::new();
+        let mut logs = [WatchLog::new(CAPACITY), WatchLog::new(CAPACITY)];
+        let mut logged = [Position::default(); 2];
+        let mut received: Vec<u64> = Vec::new();
         let mut known = Position::default();
         for event in events {
             match event {
                 Event::Change { is_followed } => store.change(is_followed),
-                Event::Return { lost } => store.come_back(lost),
-                Event::Watch { reader, .. } | Event::Read { reader }
-                    if told[reader].era < store.newest.era =>
+                Event::Restore { lost } => store.restore(lost),
+                Event::Watch { follower, .. } | Event::Read { follower }
+                    if logged[follower].era < store.newest.era =>
                 {
-                    logs[reader].begin(store.newest);
-                    told[reader] = store.newest;
+                    logs[follower].begin(store.newest);
+                    logged[follower] = store.newest;
                 }
-                Event::Watch { reader, behind } => {
+                Event::Watch { follower, behind } => {
                     let to = store.newest.revision.saturating_sub(behind);
-                    let to = Position::new(store.newest.era, to).max(told[reader]);
-                    let is_news = |change: &&Change| change.0 > told[reader] && change.0 <= to;
-                    let news: Vec<Change> = store.changed.iter().filter(is_news).copied().collect();
-                    logs[reader].extend(news, to);
-                    told[reader] = to;
+                    let to = Position::new(store.newest.era, to).max(logged[follower]);
+                    let is_new = |change: &&Change| change.0 > logged[follower] && change.0 <= to;
+                    let new: Vec<Change> = store.changed.iter().filter(is_new).copied().collect();
+                    logs[follower].extend(new, to);
+                    logged[follower] = to;
                 }
-                Event::Read { reader } => {
-                    logs[reader].begin(store.newest);
-                    told[reader] = store.newest;
+                Event::Read { follower } => {
+                    logs[follower].begin(store.newest);
+                    logged[follower] = store.newest;
                 }
-                Event::Ask { reader, is_lost } => match logs[reader].since(known) {
+                Event::Poll { follower, is_lost } => match logs[follower].since(known) {
                     _ if is_lost => {}
                     Since::Changes { changes, to } => {
                         prop_assert!(to > known && to.era == known.era);
-                        heard.extend(changes);
+                        received.extend(changes);
                         known = to;
                     }
-                    Since::NothingNew => prop_assert!(told[reader] <= known),
+                    Since::NothingNew => prop_assert!(logged[follower] <= known),
                     Since::Unknown => {
-                        // It reads the list at the store.
-                        heard = store.list();
+                        // The client reads the list from the store.
+                        received = store.list();
                         known = store.newest;
                     }
                 },
             }
             if known.era == store.newest.era {
                 let changed = store.changed.iter().filter(|(at, _)| *at <= known);
-                let expected: Vec<u64> = changed.map(|(_, made)| *made).collect();
-                prop_assert_eq!(&heard, &expected);
+                let expected: Vec<u64> = changed.map(|(_, sequence)| *sequence).collect();
+                prop_assert_eq!(&received, &expected);
             }
         }
     }
 }
 
 #[test]
-fn a_full_log_forgets_the_oldest_and_says_so() {
+fn full_log_drops_oldest_and_reports_it() {
     let mut log = WatchLog::new(2);
     log.extend([(at(1), "a"), (at(2), "b"), (at(3), "c")], at(4));
     assert_eq!(log.since(at(0)), Since::Unknown);
@@ -145,7 +143,7 @@
 }
 
 #[test]
-fn a_listener_of_another_era_is_told_nothing_of_this_one() {
+fn log_returns_no_changes_to_another_epoch() {
     let mut log = WatchLog::new(8);
     log.begin(Position::new(2, 5));
     log.extend([(Position::new(2, 6), "a")], Position::new(2, 7));
