--- a/crates/fleet/tests/suite/evacuated_halls.rs
+++ b/crates/fleet/tests/suite/evacuated_halls.rs
@@ -72,7 +72,7 @@
     #![proptest_config(config(0xe3))]
 
     #[test]
-    fn state_matches_operators_changes_as_of_revision(
+    fn state_matches_operator_changes_by_revision(
         events in proptest::collection::vec(event(), 1..60),
     ) {
         let mut history = History::new();
--- a/crates/fleet/tests/suite/target_book.rs
+++ b/crates/fleet/tests/suite/target_book.rs
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn record_expired_in_outage_is_kept_until_settled() {
+fn record_expired_in_outage_stays_until_settled() {
     let mut registry = registry();
     assert!(registry.store_away() && !registry.store_away());
     assert!(!deleted(&mut registry, "a", 3, 100));
