--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/budget.rs
@@ -1,18 +1,16 @@
-//! A budget for extra attempts that shrinks when everything fails.
+//! Retry budget: bounds retries and hedges relative to first attempts.
 //!
-//! Each first attempt earns a fraction of a token, each retry or hedge spends
-//! one. When most attempts fail, retries use up what first attempts earn and
-//! the total work stays within `1 + ratio` of the first attempts.
+//! Each first attempt earns a fraction of a token, each retry or hedge spends one. When
+//! most attempts fail, the total stays within `1 + ratio` times the first attempts.
 
-/// Tokens that may be saved up where nothing else is said; bounds a burst of
-/// retries.
-const MAX_SAVED: f64 = 20.0;
+/// Default capacity in tokens; bounds a burst of retries.
+const DEFAULT_CAPACITY: f64 = 20.0;
 
-/// Tokens for extra attempts of one entry at one service.
+/// Token bucket for the extra attempts of one entry at one service.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     ratio: f64,
-    most: f64,
+    capacity: f64,
     tokens: f64,
 }
 
@@ -21,38 +19,38 @@
     pub fn new(ratio: f64) -> Self {
         RetryBudget {
             ratio,
-            most: MAX_SAVED,
-            tokens: MAX_SAVED / 2.0,
+            capacity: DEFAULT_CAPACITY,
+            tokens: DEFAULT_CAPACITY / 2.0,
         }
     }
 
-    /// A budget that saves up to `most` tokens and has them at its start: the
-    /// entry's share of what a service takes in a window besides the ratio.
-    pub fn with_share(ratio: f64, most: f64) -> Self {
+    /// A full bucket of `capacity` tokens: the entry's share of the extra attempts that a service
+    /// accepts in a window besides the ratio.
+    pub fn with_share(ratio: f64, capacity: f64) -> Self {
         RetryBudget {
             ratio,
-            most,
-            tokens: most,
+            capacity,
+            tokens: capacity,
         }
     }
 
-    /// The share changed, because entries came or went.
-    pub fn set_share(&mut self, most: f64) {
-        self.most = most;
-        self.tokens = self.tokens.min(most);
+    /// Changes the capacity after entries joined or left.
+    pub fn set_share(&mut self, capacity: f64) {
+        self.capacity = capacity;
+        self.tokens = self.tokens.min(capacity);
     }
 
-    /// A first attempt was made.
+    /// Records a first attempt.
     pub fn earn(&mut self) {
-        self.tokens = (self.tokens + self.ratio).min(self.most.max(1.0));
+        self.tokens = (self.tokens + self.ratio).min(self.capacity.max(1.0));
     }
 
-    /// True when an extra attempt would be granted.
+    /// True when an extra attempt is allowed now.
     pub fn has_token(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// Takes a token for an extra attempt; false when there is none.
+    /// Takes a token for an extra attempt; false if none is left.
     pub fn spend(&mut self) -> bool {
         let granted = self.has_token();
         if granted {
--- a/crates/routing/src/choose.rs
+++ b/crates/routing/src/choose.rs
@@ -1,24 +1,23 @@
-//! Which target gets an attempt.
+//! Chooses the target of an attempt.
 //!
-//! Candidates that are ejected, leaving or already tried go first to the end:
-//! they are used only when nothing else is left (tried ones never, leaving
-//! ones never). Among the rest, an engine with the request's prefix in its
-//! cache is preferred while its load is within a bound of the average;
-//! otherwise the better of two drawn at random wins, so that entries which
-//! cannot see each other do not all run to the same target.
+//! Ejected targets are used only when all candidates are ejected; draining and already
+//! tried ones must be left out by the caller. Among the others, the engine with the
+//! request's prefix in its cache is preferred while its load is within a bound of the
+//! average. Otherwise the better of two random candidates wins, so that entries with the
+//! same view don't converge on one target.
 
 use hollowsail_config::TargetKey;
 
-/// One target as the choice sees it.
+/// One target to choose from.
 #[derive(Debug, Clone, Copy)]
 pub struct Candidate<K = TargetKey> {
-    /// Key by which the caller knows it.
+    /// The caller's key for the target.
     pub target: K,
-    /// Requests it holds, by own count and by its reports.
+    /// Requests it holds, by the entry's own count and the target's reports.
     pub load: f64,
-    /// What it last reported, however old; 0 when it reports nothing.
+    /// Last reported load of any age; 0 without reports.
     pub reported: f64,
-    /// Recent times over typical ones; 1 is as usual.
+    /// Ratio of recent to typical latency; 1 is typical.
     pub slowness: f64,
     pub ejected: bool,
     /// Rendezvous score for the request's prefix; `None` without affinity.
@@ -28,24 +27,24 @@
 /// Why a target was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reason {
-    /// Its cache should hold the prefix.
+    /// The prefix is expected in its cache.
     Affinity,
-    /// The better of two drawn at random.
+    /// The one with the shorter expected wait of two random candidates.
     LessLoaded,
-    /// The only one that may be used.
+    /// The only usable candidate.
     Only,
-    /// All are ejected; one of them has to serve.
+    /// All candidates are ejected.
     AllEjected,
-    /// The desk of its group of engines placed it.
+    /// Placed by the scheduler of its engine group.
     Placed,
-    /// It holds the first part of a broken stream.
+    /// Holds the first part of an interrupted stream.
     Resumed,
-    /// A simple policy of the bench chose.
+    /// Chosen by a baseline policy of the benchmark.
     Baseline,
 }
 
 impl Reason {
-    /// Name in logs and metrics.
+    /// Label in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Reason::Affinity => "affinity",
@@ -59,17 +58,17 @@
     }
 }
 
-/// A chosen target.
+/// The chosen target and the reason.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Choice<K = TargetKey> {
     pub target: K,
     pub reason: Reason,
 }
 
-/// A preferred engine may be loaded this much above the average.
+/// Largest ratio of a preferred engine's load to the average.
 const AFFINITY_BOUND: f64 = 1.25;
 
-/// Chooses among candidates; `draw` is a random number.
+/// Chooses among candidates with the random number `draw`; `None` without candidates.
 pub fn choose<K: Copy + Ord>(candidates: &[Candidate<K>], draw: u64) -> Option<Choice<K>> {
     let healthy: Vec<&Candidate<K>> = candidates.iter().filter(|c| !c.ejected).collect();
     if healthy.is_empty() {
@@ -98,7 +97,7 @@
         })
 }
 
-/// The first in rendezvous order whose load is within the bound.
+/// First candidate in rendezvous order whose load is within the bound.
 fn preferred<K: Copy + Ord>(candidates: &[&Candidate<K>]) -> Option<K> {
     let total: f64 = candidates.iter().map(|c| c.load).sum();
     let bound = AFFINITY_BOUND * (total + 1.0) / candidates.len() as f64;
@@ -117,8 +116,8 @@
     }
     let first = candidates[(draw % count) as usize];
     let second = candidates[((draw >> 32) % count) as usize];
-    let wait = |c: &Candidate<K>| (c.load + 1.0) * c.slowness;
-    let better = if wait(second) < wait(first) {
+    let expected_wait = |c: &Candidate<K>| (c.load + 1.0) * c.slowness;
+    let better = if expected_wait(second) < expected_wait(first) {
         second
     } else {
         first
--- a/crates/routing/src/crash_ledger.rs
+++ b/crates/routing/src/crash_ledger.rs
@@ -1,205 +1,193 @@
-//! Which requests end the targets that run them.
+//! Detects requests that crash the targets that run them.
 //!
-//! A request may end each target that begins to run it. Its caller, who sees a stream
-//! break off, sends it again, to whichever entry, and each send costs a target and all
-//! that runs there. The ledger counts the targets that ended under a request, by the
-//! request's digest, and says when it is refused.
+//! A fatal request crashes each target that begins to run it, and its caller retries it.
+//! The ledger counts crashes by request digest and refuses a request that caused too many.
+//! To keep innocent requests that ran beside it from being blamed:
 //!
-//! Others that ran beside it broke off, too, and must not pay for it. What tells them apart,
-//! and keeps the count:
-//!
-//! - A crash counts only for a run that was sent after the one counted before had ended.
-//!   When many targets end at once (a rack loses power), a request that many callers send
-//!   counts once, not with each of them.
-//! - A whole answer acquits: whoever is told of a suspect says so when one of them ends
-//!   well, and it counts from zero again.
-//! - The entry that counts may end, and the next one begins anew. So whoever reports a
-//!   crash says whether it knew the request as a suspect, and the count goes on from there.
-//! - After [`CRASHES_TO_SET_APART`] a request runs beside as few others as possible, and
-//!   beside no other suspect (see [`crate::desk`]): what ends then was ended by it.
+//! - A crash counts only for a run that was sent after the crash counted before, so that
+//!   many targets crashing at once count once.
+//! - A complete answer clears a request, also at the entries that were notified of it.
+//! - A crash report says whether the request was a suspect already, so that the count
+//!   survives the entry that kept it.
+//! - From [`CRASHES_TO_SET_APART`] on, a request runs beside as few others as possible and
+//!   beside no other suspect (see [`crate::scheduler`]).
 
 use std::collections::HashMap;
 
 use crate::{Millis, RequestDigest};
 
-/// Targets that ended under a request for it to be told to all entries, and set apart.
-/// One target ends with everything that it runs; a second one, under the same request
-/// again, is rare for all but the one that did it.
+/// Crashes after which a request is a suspect: it is isolated and all entries are notified.
+/// Two crashes under the same request are rare unless it caused them.
 pub const CRASHES_TO_SET_APART: u32 = 2;
-/// Targets that ended under a request for it to be refused. A caller tries a request that
-/// broke off once more; so one that only ran beside a fatal one sees two crashes, rarely.
+/// Crashes after which a request is refused. Callers retry once, so an innocent request sees
+/// two crashes at most.
 pub const CRASHES_TO_REFUSE: u32 = 3;
-/// How long a request is refused at first, in milliseconds. Then it runs once more, apart
-/// from others: a good one that was blamed for a fatal one is served, and the fatal one
-/// costs a target and is refused for twice as long.
-pub const FIRST_REFUSED_MS: Millis = 60 * 1_000;
-/// The same at most, in milliseconds: ten minutes, the longest lease of the store that
-/// keeps the refusal. One target in ten minutes is what a fatal request costs for good.
+/// Duration of the first refusal. Afterwards the request runs once more in isolation: an
+/// innocent one is served, a fatal one crashes a target and is refused for twice as long.
+pub const FIRST_REFUSAL_MS: Millis = 60 * 1_000;
+/// Longest refusal, and the longest lease of the store that keeps it.
 pub const MOST_REFUSED_MS: Millis = 10 * 60 * 1_000;
-/// How much sooner than the end of the run before it a run may seem sent and still have
-/// followed it, in milliseconds: times of two runs are told by different entries, or on a
-/// link that has to come up first; hosts in a burst lag by dozens.
-const WORD_TAKES_MS: Millis = 100;
-/// How long a crash counts without another one, in milliseconds: an hour, several times
-/// [`MOST_REFUSED_MS`], so that a refusal that is over is remembered.
-const REMEMBERED_MS: Millis = 60 * 60 * 1_000;
-/// Requests remembered at most; then the quarter goes that is untouched for the longest. They
-/// take a third of a megabyte; a target ends with up to 64 requests.
-const MOST_REMEMBERED: usize = 5_000;
-
-/// What is known of a request.
+/// Tolerance when ordering a run after the previous crash: their times come from different
+/// entries and may be delayed on the way.
+const ORDER_TOLERANCE_MS: Millis = 100;
+/// Time after which a crash is forgotten: several times [`MOST_REFUSED_MS`], so that an
+/// expired refusal is remembered.
+const RETENTION_MS: Millis = 60 * 60 * 1_000;
+/// Capacity of the ledger; the oldest quarter is evicted when it is full.
+const CAPACITY: usize = 5_000;
+
+/// Verdict on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Standing {
-    /// Nothing that matters.
+    /// Too few crashes to suspect it.
     Unsuspected,
-    /// Targets ended under it: it runs apart from others.
+    /// Targets crashed under it: it runs isolated from others.
     Suspect,
-    /// It is refused until this moment.
+    /// Refused until this time.
     Refused { until: Millis },
 }
 
-/// A run that its target's end broke off.
+/// A run interrupted by a crash of its target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CrashedRun {
     /// When the request was sent to the target.
     pub sent: Millis,
-    /// When the target ended.
+    /// When the target crashed.
     pub ended: Millis,
-    /// Whoever ran it knew the request as a suspect.
+    /// The entry that ran it had it recorded as a suspect.
     pub was_suspect: bool,
 }
 
-/// What the ledger holds of a request.
+/// Record of one request.
 #[derive(Debug, Clone, Copy)]
 struct Entry {
-    /// Targets that ended under it, one after the other.
+    /// Consecutive crashes under it.
     crashes: u32,
-    /// When the last one ended, or was told of.
-    last: Millis,
-    /// Until when it is refused; 0 when it never was.
+    /// Time of the last crash or notification.
+    last_crash: Millis,
+    /// End of its refusal; 0 if it was never refused.
     refused_until: Millis,
 }
 
-/// How long a request is refused after so many crashes, in milliseconds.
-fn refused_ms(crashes: u32) -> Millis {
+/// Duration of a refusal after `crashes`, in milliseconds.
+fn refusal_ms(crashes: u32) -> Millis {
     let doublings = crashes.saturating_sub(CRASHES_TO_REFUSE).min(16);
-    (FIRST_REFUSED_MS << doublings).min(MOST_REFUSED_MS)
+    (FIRST_REFUSAL_MS << doublings).min(MOST_REFUSED_MS)
 }
 
-/// Targets that ended, by the request that they ran.
+/// Crashes of targets by request.
 #[derive(Debug, Clone, Default)]
 pub struct CrashLedger {
     entries: HashMap<RequestDigest, Entry>,
 }
 
 impl CrashLedger {
-    /// True while nothing is remembered: no request needs to be looked up.
+    /// True when no request is recorded, so that lookups can be skipped.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Requests that are remembered.
+    /// Number of recorded requests.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// A target ended while it ran a request. Returns how many have ended under it if this
-    /// one counts.
+    /// Records a crash of a target under a request. Returns the new count, or `None` if the
+    /// crash doesn't count.
     pub fn crashed(&mut self, now: Millis, request: RequestDigest, run: CrashedRun) -> Option<u32> {
-        self.forget(now);
+        self.evict(now);
         let entry = self.entries.entry(request).or_insert(Entry {
             crashes: 0,
-            last: 0,
+            last_crash: 0,
             refused_until: 0,
         });
-        if entry.crashes > 0 && run.sent + WORD_TAKES_MS < entry.last {
+        if entry.crashes > 0 && run.sent + ORDER_TOLERANCE_MS < entry.last_crash {
             return None;
         }
         if run.was_suspect {
-            // Whoever counted before is gone, and its count with it.
+            // The entry that held the count may be gone.
             entry.crashes = entry.crashes.max(CRASHES_TO_SET_APART);
         }
         entry.crashes += 1;
-        entry.last = run.ended;
+        entry.last_crash = run.ended;
         if entry.crashes >= CRASHES_TO_REFUSE {
-            entry.refused_until = now + refused_ms(entry.crashes);
+            entry.refused_until = now + refusal_ms(entry.crashes);
         }
         Some(entry.crashes)
     }
 
-    /// Another entry, or the store, tells that a request is a suspect or refused. True
-    /// when it is news.
+    /// Applies a verdict of another entry or the store. Returns true when it changes the
+    /// record.
     pub fn told(&mut self, now: Millis, request: RequestDigest, standing: Standing) -> bool {
         let (crashes, refused_until) = match standing {
             Standing::Unsuspected => return self.entries.remove(&request).is_some(),
             Standing::Suspect => (CRASHES_TO_SET_APART, 0),
             Standing::Refused { until } => (CRASHES_TO_REFUSE, until),
         };
-        self.forget(now);
-        let known = self.entries.get(&request);
-        let is_news = known.is_none_or(|known| {
-            crashes > known.crashes || (refused_until > now && known.refused_until <= now)
+        self.evict(now);
+        let entry = self.entries.get(&request);
+        let is_update = entry.is_none_or(|entry| {
+            crashes > entry.crashes || (refused_until > now && entry.refused_until <= now)
         });
-        if is_news {
+        if is_update {
             let entry = Entry {
                 crashes,
-                last: now,
+                last_crash: now,
                 refused_until,
             };
             self.entries.insert(request, entry);
         }
-        is_news
+        is_update
     }
 
-    /// A refusal was taken back, or is over. True when that is news.
+    /// Lifts a refusal that was revoked or has expired. Returns true when it was in effect.
     pub fn lifted(&mut self, now: Millis, request: RequestDigest) -> bool {
-        let Some(known) = self.entries.get_mut(&request) else {
+        let Some(entry) = self.entries.get_mut(&request) else {
             return false;
         };
-        let was_refused = known.refused_until > now;
-        known.refused_until = known.refused_until.min(now);
+        let was_refused = entry.refused_until > now;
+        entry.refused_until = entry.refused_until.min(now);
         was_refused
     }
 
-    /// A request was answered whole, so it ends no target. True when it was a suspect.
+    /// Clears a request that was answered completely. Returns true when it was a suspect.
     pub fn served(&mut self, request: RequestDigest) -> bool {
-        let known = self.entries.remove(&request);
-        known.is_some_and(|known| known.crashes >= CRASHES_TO_SET_APART)
+        let entry = self.entries.remove(&request);
+        entry.is_some_and(|entry| entry.crashes >= CRASHES_TO_SET_APART)
     }
 
-    /// What is known of a request.
     pub fn standing(&self, now: Millis, request: RequestDigest) -> Standing {
         match self.entries.get(&request) {
-            Some(known) if known.refused_until > now => Standing::Refused {
-                until: known.refused_until,
+            Some(entry) if entry.refused_until > now => Standing::Refused {
+                until: entry.refused_until,
             },
-            Some(known) if known.crashes >= CRASHES_TO_SET_APART => Standing::Suspect,
+            Some(entry) if entry.crashes >= CRASHES_TO_SET_APART => Standing::Suspect,
             _ => Standing::Unsuspected,
         }
     }
 
-    /// Every request that is refused, and until when.
+    /// Refused requests and the ends of their refusals.
     pub fn refused(&self, now: Millis) -> impl Iterator<Item = (RequestDigest, Millis)> + '_ {
         let refused = self
             .entries
             .iter()
-            .filter(move |(_, known)| known.refused_until > now);
-        refused.map(|(request, known)| (*request, known.refused_until))
+            .filter(move |(_, entry)| entry.refused_until > now);
+        refused.map(|(request, entry)| (*request, entry.refused_until))
     }
 
-    /// Forgets what is too old, and the oldest quarter where there is no room.
-    fn forget(&mut self, now: Millis) {
+    /// Drops expired records, and the oldest quarter if the ledger is full.
+    fn evict(&mut self, now: Millis) {
         self.entries
-            .retain(|_, known| now < known.last + REMEMBERED_MS);
-        if self.entries.len() < MOST_REMEMBERED {
+            .retain(|_, entry| now < entry.last_crash + RETENTION_MS);
+        if self.entries.len() < CAPACITY {
             return;
         }
         let entries = self.entries.iter();
         let mut ages: Vec<(Millis, RequestDigest)> = entries
-            .map(|(request, known)| (known.last, *request))
+            .map(|(request, entry)| (entry.last_crash, *request))
             .collect();
         ages.sort_unstable();
-        for (_, oldest) in &ages[..MOST_REMEMBERED / 4] {
+        for (_, oldest) in &ages[..CAPACITY / 4] {
             self.entries.remove(oldest);
         }
     }
--- a/crates/routing/src/deadline.rs
+++ b/crates/routing/src/deadline.rs
@@ -1,24 +1,23 @@
-//! How the time that is left is shared among the stages that are left.
+//! Divides the remaining time of a request among its remaining stages.
 //!
-//! A stage may use all that its successors are not expected to need. Work that
-//! cannot finish even at the speed of the fastest requests is refused before
-//! it costs anything.
+//! A stage may use all the time that its successors are not expected to need. A request
+//! that can't finish even at the fastest recent latencies is rejected at once.
 
 use crate::Millis;
 
-/// What the time of a stage looked like recently.
+/// Recent latency quantiles of a stage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StageExpectation {
-    /// As fast as it gets: a low quantile.
+    /// Low quantile.
     pub fast_ms: Millis,
-    /// A middling request.
+    /// Middle quantile.
     pub typical_ms: Millis,
-    /// Nearly all requests: a high quantile.
+    /// High quantile.
     pub slow_ms: Millis,
 }
 
 impl StageExpectation {
-    /// A stage that always takes about the same.
+    /// A stage with a constant latency.
     pub const fn fixed(ms: Millis) -> Self {
         StageExpectation {
             fast_ms: ms,
@@ -28,17 +27,17 @@
     }
 }
 
-/// Bounds for the stage at hand.
+/// Time limits of the current stage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StagePlan {
-    /// For all attempts of this stage together.
+    /// For all attempts of the stage together.
     pub stage_ms: Millis,
-    /// For one attempt, when another target could take over.
+    /// For one attempt, if another target can take over.
     pub attempt_ms: Millis,
 }
 
 impl StagePlan {
-    /// Everything that is left, for this stage and one attempt.
+    /// Allows the stage and one attempt all the remaining time.
     pub fn all_of(remaining_ms: Millis) -> Self {
         StagePlan {
             stage_ms: remaining_ms,
@@ -47,23 +46,26 @@
     }
 }
 
-/// The remaining stages cannot finish in the remaining time.
+/// The remaining stages can't finish in the remaining time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TooLate {
-    /// Least time that would be needed.
+    /// Least time needed.
     pub needed_ms: Millis,
 }
 
-/// An attempt that takes longer than this multiple of the slow quantile is
-/// taken for hung.
+/// Multiple of the slow quantile after which an attempt counts as hung.
 const HUNG_FACTOR: Millis = 3;
-/// Least time an attempt is given, so noise at small quantiles is no fault.
+/// Shortest attempt limit, so that jitter at small quantiles is no failure.
 const MIN_ATTEMPT_MS: Millis = 50;
 
-/// Plans the first of `stages` with `remaining_ms` left for all of them.
+/// Plans the first of `stages` with `remaining_ms` left for all.
+///
+/// # Errors
+///
+/// [`TooLate`] if the stages can't finish in time or there are none.
 pub fn plan(remaining_ms: Millis, stages: &[StageExpectation]) -> Result<StagePlan, TooLate> {
     let needed_ms = stages.iter().map(|stage| stage.fast_ms).sum();
-    let Some((this, rest)) = stages.split_first() else {
+    let Some((current, rest)) = stages.split_first() else {
         return Err(TooLate { needed_ms: 0 });
     };
     if needed_ms > remaining_ms || remaining_ms == 0 {
@@ -71,9 +73,11 @@
     }
     let fast_rest: Millis = rest.iter().map(|stage| stage.fast_ms).sum();
     let typical_rest: Millis = rest.iter().map(|stage| stage.typical_ms).sum();
-    let reserve = typical_rest.min(remaining_ms - this.fast_ms).max(fast_rest);
-    let stage_ms = (remaining_ms - reserve).max(this.fast_ms).max(1);
-    let attempt_ms = (HUNG_FACTOR * this.slow_ms).max(MIN_ATTEMPT_MS);
+    let reserve = typical_rest
+        .min(remaining_ms - current.fast_ms)
+        .max(fast_rest);
+    let stage_ms = (remaining_ms - reserve).max(current.fast_ms).max(1);
+    let attempt_ms = (HUNG_FACTOR * current.slow_ms).max(MIN_ATTEMPT_MS);
     Ok(StagePlan {
         stage_ms,
         attempt_ms: attempt_ms.min(stage_ms),
--- a/crates/routing/src/engine.rs
+++ b/crates/routing/src/engine.rs
@@ -1,70 +1,68 @@
-//! Which engine gets a generation.
+//! Chooses the engine for a generation.
 //!
-//! An engine that keeps the shared parts of a prompt doesn't read them again,
-//! and results that lie in its hall needn't be moved. Both are counted in
-//! tokens to read, and so is what an engine has yet to read for others: the
-//! lowest sum wins. Rendezvous hashing by the last shared part says which
-//! engine keeps it, so that all entries agree without talking; where that one
-//! is out or busy, the next in order is the same for all, too.
+//! The cost of an engine is counted in tokens to prefill: the shared prefix if it isn't
+//! cached there, results to be moved from other halls, and prefill pending for other
+//! requests. The lowest cost wins. Rendezvous hashing by the last shared part picks the
+//! engine that caches it, so that entries agree without communication.
 
 use std::cmp::Reverse;
 
-/// Bytes of results whose move between halls weighs as much as one token that
-/// is read again. From the operators' prices of the two.
+/// Bytes moved between halls that cost as much as recomputing one token, by the operators'
+/// prices.
 const BYTES_PER_TOKEN: f64 = 3_100.0;
-/// Tokens that a full batch of others' requests weighs: they slow each new
-/// token down, but don't hold the first one up.
+/// Cost of a full batch: running requests slow down decoding, but don't delay the first
+/// token.
 const FULL_BATCH_TOKENS: f64 = 4_000.0;
-/// Weight of a token that is read again: it has a price besides its time.
-const READ_AGAIN_WEIGHT: f64 = 2.0;
-/// Weight of tokens that wait to be read before ours. Only this entry's own are
-/// known, and they stand for those of all.
-const UNREAD_WEIGHT: f64 = 1.0;
+/// Weight of a recomputed token: it costs money as well as time.
+const RECOMPUTE_WEIGHT: f64 = 2.0;
+/// Weight of pending tokens. Only this entry's own are known; they stand in for those of
+/// all entries.
+const PENDING_WEIGHT: f64 = 1.0;
 
-/// One engine as the choice sees it.
+/// One engine to choose from.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineCandidate {
     /// Rendezvous score for the last shared part.
     pub affinity: u64,
-    /// It is known to keep the shared parts.
+    /// The shared prefix is known to be cached there.
     pub keeps_part: bool,
-    /// Part of its slots that is taken; 1 is full.
+    /// Share of its slots in use; 1 is full.
     pub load: f64,
-    /// Prompt tokens that it has yet to read for this entry.
+    /// Prompt tokens of this entry that it has yet to prefill.
     pub unread_tokens: u64,
-    /// Recent times over typical ones; 1 is as usual.
+    /// Ratio of recent to typical latency; 1 is typical.
     pub slowness: f64,
     pub ejected: bool,
-    /// Bytes of the request's results that lie outside its hall.
+    /// Bytes of the request's input results stored in other halls.
     pub outside_bytes: u64,
 }
 
-/// What an engine would cost, in tokens to read.
+/// A chosen engine and its cost.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EngineChoice {
     /// Position among the candidates.
     pub at: usize,
     pub cost_tokens: f64,
-    /// It should keep the shared parts.
+    /// The shared prefix is expected to be cached there.
     pub is_home: bool,
 }
 
-/// Chooses an engine for a prompt with so many tokens in shared parts. Where none
-/// is known to keep them, the first in rendezvous order is taken to. Ejected ones
-/// are used only when all are.
+/// Chooses the engine with the lowest cost. If none is known to cache the shared prefix,
+/// the first in rendezvous order is assumed to. Ejected engines are used only when all are
+/// ejected.
 pub fn choose_engine(candidates: &[EngineCandidate], shared_tokens: u64) -> Option<EngineChoice> {
-    let all_out = candidates.iter().all(|engine| engine.ejected);
-    let may_serve = |engine: &EngineCandidate| all_out || !engine.ejected;
-    let usable = || (0..candidates.len()).filter(|&at| may_serve(&candidates[at]));
-    let first = usable().max_by_key(|&at| candidates[at].affinity)?;
-    let some_keeps = usable().any(|at| candidates[at].keeps_part);
-    let is_home = |at: usize| match some_keeps {
-        true => candidates[at].keeps_part,
-        false => at == first,
+    let all_ejected = candidates.iter().all(|engine| engine.ejected);
+    let may_serve = |engine: &EngineCandidate| all_ejected || !engine.ejected;
+    let usable = || (0..candidates.len()).filter(|&index| may_serve(&candidates[index]));
+    let first = usable().max_by_key(|&index| candidates[index].affinity)?;
+    let any_cached = usable().any(|index| candidates[index].keeps_part);
+    let is_home = |index: usize| match any_cached {
+        true => candidates[index].keeps_part,
+        false => index == first,
     };
     let best = usable().min_by(|&a, &b| {
-        let key = |at: usize| cost(&candidates[at], is_home(at), shared_tokens);
-        let order = |at: usize| Reverse(candidates[at].affinity);
+        let key = |index: usize| cost(&candidates[index], is_home(index), shared_tokens);
+        let order = |index: usize| Reverse(candidates[index].affinity);
         key(a).total_cmp(&key(b)).then(order(a).cmp(&order(b)))
     })?;
     Some(EngineChoice {
@@ -75,20 +73,19 @@
 }
 
 fn cost(engine: &EngineCandidate, is_home: bool, shared_tokens: u64) -> f64 {
-    let read_again = if is_home {
+    let recomputed = if is_home {
         0.0
     } else {
-        shared_tokens as f64 * READ_AGAIN_WEIGHT
+        shared_tokens as f64 * RECOMPUTE_WEIGHT
     };
     let moved = engine.outside_bytes as f64 / BYTES_PER_TOKEN;
-    let waiting = engine.unread_tokens as f64 * UNREAD_WEIGHT;
-    let others = engine.load * FULL_BATCH_TOKENS;
-    read_again + moved + (waiting + others) * engine.slowness
+    let pending = engine.unread_tokens as f64 * PENDING_WEIGHT;
+    let batch = engine.load * FULL_BATCH_TOKENS;
+    recomputed + moved + (pending + batch) * engine.slowness
 }
 
-/// True when a prompt's shared parts weigh more than moving results of so many
-/// bytes: the results should be made where the engine is, not the other way
-/// round.
+/// True when recomputing the shared prefix costs more than moving the results, so that the
+/// engine should be chosen before the hall that produces the results.
 pub fn engine_goes_first(shared_tokens: u64, result_bytes: u64) -> bool {
     shared_tokens as f64 > result_bytes as f64 / BYTES_PER_TOKEN
 }
--- /dev/null
+++ b/crates/routing/src/event_loop_lag.rs
@@ -0,0 +1,60 @@
+//! Detects a lagging event loop by how late its own timers fire.
+//!
+//! A host may slow down while its links stay up and its messages are still answered. A
+//! process notices this first by its own timers. One that lags reports so, and isn't
+//! chosen as an owner until its timers have been on time for a while.
+
+use crate::Millis;
+
+/// Weight of the newest timer in the average lag.
+const SAMPLE_WEIGHT: f64 = 0.2;
+/// Average lag from which a process counts as lagging. Healthy ones lag by 1 or 2 ms.
+const LAGGING_MS: f64 = 16.0;
+/// Cap for one timer: a single long task, as at a start, must not trip the detector.
+const MAX_SAMPLE_MS: Millis = 40;
+/// Average lag below which a process may recover.
+const ON_TIME_MS: f64 = 4.0;
+/// Time below [`ON_TIME_MS`] before a process counts as recovered. An owner that handed its
+/// work over is on time at once, even on a slow host.
+const RECOVERY_MS: Millis = 4_000;
+
+/// Average timer lag of a process, and whether it counts as lagging.
+#[derive(Debug, Clone, Copy, Default)]
+pub struct Pace {
+    lag_ms: f64,
+    is_lagging: bool,
+    /// When its timers became on time.
+    on_time_since: Option<Millis>,
+}
+
+impl Pace {
+    /// Records a timer that fired `late` milliseconds late. Returns true when the process
+    /// starts or stops lagging.
+    pub fn woke(&mut self, now: Millis, late: Millis) -> bool {
+        let late = late.min(MAX_SAMPLE_MS) as f64;
+        self.lag_ms += SAMPLE_WEIGHT * (late - self.lag_ms);
+        if self.lag_ms >= ON_TIME_MS {
+            self.on_time_since = None;
+        } else if self.on_time_since.is_none() {
+            self.on_time_since = Some(now);
+        }
+        let was_lagging = self.is_lagging;
+        self.is_lagging = match was_lagging {
+            false => self.lag_ms >= LAGGING_MS,
+            true => self
+                .on_time_since
+                .is_none_or(|since| now < since + RECOVERY_MS),
+        };
+        self.is_lagging != was_lagging
+    }
+
+    /// True while the process is lagging.
+    pub fn is_slow(&self) -> bool {
+        self.is_lagging
+    }
+
+    /// Average timer lag in milliseconds.
+    pub fn late_ms(&self) -> f64 {
+        self.lag_ms
+    }
+}
--- a/crates/routing/src/health.rs
+++ b/crates/routing/src/health.rs
@@ -1,41 +1,35 @@
-//! What one target's recent answers say of it: slowness, failures, ejection.
+//! Health of a target from its recent answers: slowness, failures, ejection.
 //!
-//! Slowness is relative: an answer's time over what the stage typically takes,
-//! so that targets which happen to serve long requests do not look slow. It is
-//! averaged in logarithms, where a rare long answer weighs little and a target
-//! that is slow all the time shows within a few answers.
-//!
-//! A target is ejected after several failures in a row or when it is far
-//! slower than its service's median, and comes back gradually: after its time
-//! is over its record starts anew. How many may be out at once is limited
-//! where ejections are decided for a whole service.
+//! Slowness is the ratio of an answer's latency to what its stage typically takes,
+//! averaged in logarithms so that a rare long answer weighs little. A target is ejected
+//! after several failures in a row, or when it is far slower than its service's median,
+//! for a time that doubles with each ejection; its record starts afresh afterwards.
 
 use crate::Millis;
 
-/// What happened to one attempt.
+/// Outcome of one attempt, as far as it concerns the target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Observation {
     /// A valid answer after this many milliseconds.
     Answered(Millis),
-    /// No valid answer; the target is to blame.
+    /// No valid answer, through a fault of the target.
     Failed,
-    /// No answer after this many milliseconds, when the caller of the target
-    /// had to give up.
+    /// No answer within this many milliseconds; the attempt was abandoned.
     TimedOut(Millis),
 }
 
-/// When to eject.
+/// Thresholds and durations of ejection.
 #[derive(Debug, Clone, Copy)]
 pub struct HealthRules {
-    /// Failures in a row that eject.
+    /// Consecutive failures that eject.
     pub failures: u32,
     /// Multiple of the service's median slowness that ejects.
     pub slow_factor: f64,
-    /// Answers needed before slowness is judged.
+    /// Fewest answers for a slowness ejection.
     pub min_samples: u32,
-    /// First ejection; doubles with each one that follows closely.
+    /// Duration of the first ejection; doubles with each one that follows closely.
     pub eject_ms: Millis,
-    /// Longest ejection.
+    /// Longest duration of an ejection.
     pub max_eject_ms: Millis,
 }
 
@@ -52,107 +46,106 @@
 }
 
 /// Weight of a new answer in the moving average.
-const NEW_WEIGHT: f64 = 0.15;
+const SAMPLE_WEIGHT: f64 = 0.15;
 
-/// One target as one entry sees it.
+/// Health of one target as observed by one entry.
 #[derive(Debug, Clone, Default)]
 pub struct TargetHealth {
-    /// Moving average of the logarithm of relative times.
+    /// Moving average of the logarithm of the latency ratio.
     log_slowness: f64,
     samples: u32,
-    failures_in_row: u32,
+    consecutive_failures: u32,
     ejections: u32,
     ejected_until: Millis,
 }
 
 impl TargetHealth {
-    /// Takes one observation of a stage that typically takes `typical_ms`.
+    /// Records an observation of a stage that typically takes `typical_ms`.
     pub fn observe(&mut self, observation: Observation, typical_ms: Millis) {
         match observation {
             Observation::Answered(ms) => {
-                self.failures_in_row = 0;
-                self.take(log_ratio(ms, typical_ms));
+                self.consecutive_failures = 0;
+                self.add_sample(log_ratio(ms, typical_ms));
             }
-            // How long it would have taken is not known, only that it is more.
+            // The true latency is unknown, but at least this long.
             Observation::TimedOut(ms) => {
                 let at_least = log_ratio(ms, typical_ms);
                 if at_least > self.log_slowness {
-                    self.failures_in_row += 1;
-                    self.take(at_least);
+                    self.consecutive_failures += 1;
+                    self.add_sample(at_least);
                 }
             }
-            Observation::Failed => self.failures_in_row += 1,
+            Observation::Failed => self.consecutive_failures += 1,
         }
     }
 
-    /// Answers taken since its record began.
+    /// Number of samples since the last ejection.
     pub fn samples(&self) -> u32 {
         self.samples
     }
 
-    /// Begins the count of failures in a row anew.
-    pub fn forget_failures(&mut self) {
-        self.failures_in_row = 0;
+    pub fn reset_failures(&mut self) {
+        self.consecutive_failures = 0;
     }
 
-    fn take(&mut self, log_ratio: f64) {
+    fn add_sample(&mut self, log_ratio: f64) {
         self.samples = self.samples.saturating_add(1);
-        self.log_slowness += NEW_WEIGHT * (log_ratio - self.log_slowness);
+        self.log_slowness += SAMPLE_WEIGHT * (log_ratio - self.log_slowness);
     }
 
-    /// Recent answers over typical ones: 1 is as usual, 5 is five times slower.
+    /// Ratio of recent to typical latency: 1 is typical, 5 is five times slower.
     pub fn slowness(&self) -> f64 {
         self.log_slowness.exp()
     }
 
-    /// True while the target is out.
     pub fn is_ejected(&self, now: Millis) -> bool {
         now < self.ejected_until
     }
 
-    /// True when its answers call for an ejection.
-    pub fn deserves_ejection(&self, rules: &HealthRules, median_slowness: f64) -> bool {
-        let failing = self.failures_in_row >= rules.failures;
+    pub fn should_eject(&self, rules: &HealthRules, median_slowness: f64) -> bool {
+        let failing = self.consecutive_failures >= rules.failures;
         let slow = self.samples >= rules.min_samples
             && self.slowness() > rules.slow_factor * median_slowness;
         failing || slow
     }
 
-    /// Puts the target out, longer each time; its record starts anew after.
+    /// Ejects the target, for longer each time, and resets its record.
     pub fn eject(&mut self, now: Millis, rules: &HealthRules) {
         let doubled = rules.eject_ms << self.ejections.min(8);
         self.ejected_until = now + doubled.min(rules.max_eject_ms);
         self.ejections += 1;
-        self.failures_in_row = 0;
+        self.consecutive_failures = 0;
         self.samples = 0;
         self.log_slowness = 0.0;
     }
 
-    /// Forgets earlier ejections after a good stretch.
-    pub fn forgive(&mut self, now: Millis, rules: &HealthRules) {
+    /// Resets the ejection count after `max_eject_ms` without an ejection.
+    pub fn reset_ejections(&mut self, now: Millis, rules: &HealthRules) {
         if self.ejections > 0 && now > self.ejected_until + rules.max_eject_ms {
             self.ejections = 0;
         }
     }
 }
 
-/// Ejects the targets of one service that deserve it, worst first, while at
-/// most half of them are out. Returns the positions newly ejected.
+/// Ejects failing and slow targets of one service, slowest first, while at most half are
+/// ejected. Returns the positions of those newly ejected.
 pub fn eject_worst(now: Millis, rules: &HealthRules, targets: &mut [TargetHealth]) -> Vec<usize> {
     let median = median_slowness(targets);
-    let most_out = targets.len() / 2;
-    let out = targets.iter().filter(|t| t.is_ejected(now)).count();
-    let mut deserving: Vec<_> = (0..targets.len())
-        .filter(|&at| !targets[at].is_ejected(now))
-        .filter(|&at| targets[at].deserves_ejection(rules, median))
+    let max_ejected = targets.len() / 2;
+    let ejected = targets.iter().filter(|t| t.is_ejected(now)).count();
+    let mut worst: Vec<_> = (0..targets.len())
+        .filter(|&index| !targets[index].is_ejected(now))
+        .filter(|&index| targets[index].should_eject(rules, median))
         .collect();
-    deserving.sort_by(|&a, &b| targets[b].log_slowness.total_cmp(&targets[a].log_slowness));
-    deserving.truncate(most_out.saturating_sub(out));
-    for &at in &deserving {
-        targets[at].eject(now, rules);
+    worst.sort_by(|&a, &b| targets[b].log_slowness.total_cmp(&targets[a].log_slowness));
+    worst.truncate(max_ejected.saturating_sub(ejected));
+    for &index in &worst {
+        targets[index].eject(now, rules);
     }
-    targets.iter_mut().for_each(|t| t.forgive(now, rules));
-    deserving
+    targets
+        .iter_mut()
+        .for_each(|t| t.reset_ejections(now, rules));
+    worst
 }
 
 fn median_slowness(targets: &[TargetHealth]) -> f64 {
@@ -161,7 +154,7 @@
     all.get(all.len() / 2).copied().unwrap_or(1.0)
 }
 
-/// Times below a millisecond are all alike.
+/// Latencies below 1 ms count as 1 ms.
 fn log_ratio(ms: Millis, typical_ms: Millis) -> f64 {
     (ms.max(1) as f64 / typical_ms.max(1) as f64).ln()
 }
--- a/crates/routing/src/latency.rs
+++ b/crates/routing/src/latency.rs
@@ -1,21 +1,19 @@
 //! Quantiles of recent latencies.
 //!
-//! Two histograms in turn: the current one fills, the one before it still
-//! counts, so a quantile covers between one and two windows and old times
-//! fall out without a sort or a decay constant.
+//! Two histograms rotate: while the current one fills, the previous one still counts.
+//! Old samples expire with their window, without sorting or decay.
 
 use hdrhistogram::Histogram;
 
 use crate::Millis;
 
-/// Length of one window.
 const WINDOW_MS: Millis = 10_000;
-/// Longest latency told apart, in milliseconds.
+/// Longest recorded latency; longer ones are clamped.
 const MAX_LATENCY_MS: u64 = 150_000;
-/// Fewest samples a quantile is taken from.
+/// Fewest samples for a quantile.
 const MIN_SAMPLES: u64 = 10;
 
-/// Latencies of the last one to two windows.
+/// Latencies of the last two windows.
 #[derive(Debug, Clone)]
 pub struct LatencyWindow {
     current: Histogram<u32>,
@@ -34,17 +32,16 @@
 }
 
 fn new_histogram() -> Histogram<u32> {
-    Histogram::new_with_bounds(1, MAX_LATENCY_MS, 2).expect("the bounds are constants")
+    Histogram::new_with_bounds(1, MAX_LATENCY_MS, 2).expect("constant histogram bounds are valid")
 }
 
 impl LatencyWindow {
-    /// Records one latency.
     pub fn record(&mut self, now: Millis, latency_ms: u64) {
-        self.turn(now);
+        self.rotate(now);
         self.current.saturating_record(latency_ms.max(1));
     }
 
-    fn turn(&mut self, now: Millis) {
+    fn rotate(&mut self, now: Millis) {
         let age = now.saturating_sub(self.started);
         if age < WINDOW_MS {
             return;
@@ -57,8 +54,8 @@
         self.started = now;
     }
 
-    /// The latency that `share` (0 to 1) of the samples stay within; `None`
-    /// with too few samples.
+    /// Latency in milliseconds at quantile `share` (0 to 1), from the fuller
+    /// window; `None` with too few samples.
     pub fn quantile(&self, share: f64) -> Option<u64> {
         let fuller = if self.previous.len() > self.current.len() {
             &self.previous
--- a/crates/routing/src/limit.rs
+++ b/crates/routing/src/limit.rs
@@ -1,126 +1,121 @@
-//! How often a target that names a limit gets a request.
+//! Paces requests to targets that report a limit.
 //!
-//! A target in need names how many requests a second it takes from all entries together.
-//! Nobody counts for all of them, so one owner sends, or says who may: of a desk, of a
-//! queue. Which entry that is, entries may see differently for some seconds after one comes,
-//! goes or falls silent. So an owner takes nearly the whole rate only once it has been the
-//! owner for a while, and half before: with the owner of before, that still takes itself
-//! for the owner, it stays below the one and a half times that operators allow.
-//!
-//! The load that this answers: callers want more than a target takes, in bursts, while its
-//! limit is new, lowered or over, and while owners change.
+//! A target under load reports how many requests per second it accepts from all entries
+//! together. One owner (of a scheduler or a queue) sends all of them, or grants them to
+//! others. Entries may disagree about the owner for some seconds after a membership
+//! change, so a recent owner uses half the rate and a settled one nearly all of it:
+//! together they stay below 1.5 times the limit, which operators allow.
 
 use crate::cold;
 use crate::Millis;
 
-/// Share of an owner that has been one for [`SETTLED_AFTER_MS`]: the rest makes up for
-/// requests that bunch up on their way.
+/// Share of an owner since at least [`SETTLED_AFTER_MS`]. The rest allows for requests that
+/// bunch up on their way.
 const SETTLED_SHARE: f64 = 0.95;
-/// Share of an owner that is new.
-const NEW_SHARE: f64 = 0.5;
-/// Share of an entry that knows of no others, as where the store is away at its start: they
-/// may all take themselves for the owner.
+/// Share of a recent owner.
+const RECENT_SHARE: f64 = 0.5;
+/// Share of an entry without a member list, as when the store is unreachable at its start:
+/// all such entries may assume ownership.
 const UNLISTED_SHARE: f64 = 0.1;
-/// Requests that a settled owner lets through at once after a lull.
+/// Burst of a settled owner, in requests.
 const SETTLED_BURST: f64 = 2.0;
-/// The same for any other.
-const NEW_BURST: f64 = 1.0;
-/// How long an owner is new, in milliseconds: entries agree on owners again long before,
-/// but for one that is suspected as often as can be, which lasts this long and a hop.
+/// Burst of any other sender, in requests.
+const RECENT_BURST: f64 = 1.0;
+/// Ownership age from which an owner is settled. Entries agree on owners much sooner; only
+/// repeated suspicions of one entry take this long to resolve.
 pub const SETTLED_AFTER_MS: Millis = 6_500;
-/// Rate below which no limit is kept to, in requests a second: without any request the
-/// end of a limit would show to nobody.
-const LEAST_PER_S: f64 = 0.2;
+/// Lowest rate sent to a target, in requests per second: without any requests, the end of
+/// its limit would go unnoticed.
+const MIN_PER_S: f64 = 0.2;
 
-/// How much of what a target takes from all entries together one sender uses.
+/// One sender's share of the rate that a target accepts from all entries.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitShare {
-    /// Part of the rate that the target names.
-    of_rate: f64,
-    /// Requests let through at once after a lull.
+    /// Share of the reported limit.
+    rate_share: f64,
+    /// Requests that may be sent at once after an idle time.
     burst: f64,
-    /// Part of the rate that the target bears while it is cold.
-    cold_share: f64,
+    /// Share of the target's rate during warm-up.
+    warm_up_share: f64,
 }
 
 impl LimitShare {
-    /// That of a sender that has owned the target's desk or queue for a time.
+    /// Share of an owner of the target's scheduler or queue since `owned_ms`.
     pub fn owned_for(owned_ms: Millis) -> Self {
         match owned_ms >= SETTLED_AFTER_MS {
             true => LimitShare {
-                of_rate: SETTLED_SHARE,
+                rate_share: SETTLED_SHARE,
                 burst: SETTLED_BURST,
-                cold_share: cold::SETTLED_DESK_SHARE,
+                warm_up_share: cold::SETTLED_SCHEDULER_SHARE,
             },
             false => LimitShare {
-                of_rate: NEW_SHARE,
-                burst: NEW_BURST,
-                cold_share: cold::DESK_SHARE,
+                rate_share: RECENT_SHARE,
+                burst: RECENT_BURST,
+                warm_up_share: cold::SCHEDULER_SHARE,
             },
         }
     }
 
-    /// That of an entry that doesn't know the others.
+    /// Share of an entry without a member list.
     pub fn unlisted() -> Self {
         LimitShare {
-            of_rate: UNLISTED_SHARE,
-            burst: NEW_BURST,
-            cold_share: UNLISTED_SHARE,
+            rate_share: UNLISTED_SHARE,
+            burst: RECENT_BURST,
+            warm_up_share: UNLISTED_SHARE,
         }
     }
 
-    /// The part that it uses of what a cold target bears.
+    /// Share of the rate of a target that is warming up.
     pub fn cold_share(&self) -> f64 {
-        self.cold_share
+        self.warm_up_share
     }
 
-    /// Requests a second that the sender may make of a limit.
+    /// The sender's rate under a limit of `per_s`, in requests per second.
     pub fn rate(&self, per_s: f64) -> f64 {
-        per_s.max(LEAST_PER_S) * self.of_rate
+        per_s.max(MIN_PER_S) * self.rate_share
     }
 }
 
 impl Default for LimitShare {
-    /// That of a new owner.
+    /// Share of a recent owner.
     fn default() -> Self {
         LimitShare::owned_for(0)
     }
 }
 
-/// When a sender may give a target the next request: a token bucket, kept as the moment at
-/// which it is full again.
+/// Token bucket for the requests of one sender to one target, stored as the time at which it
+/// is full again.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct LimitGate {
-    /// In milliseconds.
-    full_at: f64,
+    full_at_ms: f64,
 }
 
 impl LimitGate {
-    /// When the target may get a request at the earliest; `now` when it may at once, as
-    /// one without a limit always may.
+    /// Earliest time of the next request: `now` if the gate is open, as always without a
+    /// limit.
     pub fn opens(&self, now: Millis, limit: Option<f64>, share: LimitShare) -> Millis {
         let Some(per_s) = limit else { return now };
         let spacing = spacing_ms(per_s, share);
-        let waits = self.missing_ms(now, spacing, share) - (share.burst - 1.0) * spacing;
-        now + waits.max(0.0).ceil() as Millis
+        let wait_ms = self.missing_ms(now, spacing, share) - (share.burst - 1.0) * spacing;
+        now + wait_ms.max(0.0).ceil() as Millis
     }
 
-    /// The target gets a request.
+    /// Records a request sent to the target.
     pub fn sent(&mut self, now: Millis, limit: Option<f64>, share: LimitShare) {
         let Some(per_s) = limit else { return };
         let spacing = spacing_ms(per_s, share);
-        self.full_at = now as f64 + self.missing_ms(now, spacing, share) + spacing;
+        self.full_at_ms = now as f64 + self.missing_ms(now, spacing, share) + spacing;
     }
 
-    /// Time until the bucket is full. What was taken at a lower rate counts as one burst at
-    /// the rate of now at most: a limit that rises is used at once.
+    /// Time until the bucket is full, in milliseconds. Capped at one burst of the current
+    /// rate, so that a raised limit takes effect at once.
     fn missing_ms(&self, now: Millis, spacing: f64, share: LimitShare) -> f64 {
-        let missing = (self.full_at - now as f64).max(0.0);
+        let missing = (self.full_at_ms - now as f64).max(0.0);
         missing.min(share.burst * spacing)
     }
 }
 
-/// Time between two requests of a sender.
+/// Interval between two requests of a sender, in milliseconds.
 fn spacing_ms(per_s: f64, share: LimitShare) -> f64 {
     1_000.0 / share.rate(per_s)
 }
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -1,19 +1,18 @@
-//! Which mechanisms are at work.
+//! Switches for the routing mechanisms.
 //!
-//! In service all are on. The bench switches them off one at a time to measure
-//! what each is worth, and puts the three simple policies in their place that
-//! this project compares itself with.
+//! In service all are on. The benchmark switches them off one at a time to measure the
+//! effect of each, and compares against three baseline policies.
 
 use crate::choose::{choose, Candidate, Choice, Reason};
 
-/// How a target is chosen.
+/// Policy that chooses a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Choosing {
-    /// This project's own way, in [`choose`].
-    Weighed,
+    /// By load, slowness and affinity; see [`choose`].
+    Adaptive,
     Random,
     RoundRobin,
-    /// The lowest reported load, whatever its age.
+    /// The lowest reported load of any age.
     LeastReportedLoad,
 }
 
@@ -21,26 +20,26 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Switches {
     pub choosing: Choosing,
-    /// Refuse work that cannot finish in time.
+    /// Reject requests that can't meet their deadline.
     pub early_refusal: bool,
-    /// Prefer the engine that should hold a session's prefix.
+    /// Prefer the engine that is expected to cache a session's prefix.
     pub affinity: bool,
-    /// Put failing and slow targets out for a while.
+    /// Eject failing and slow targets.
     pub ejection: bool,
-    /// Take an attempt that lasts far too long for hung, and try elsewhere.
+    /// Time out hung attempts and retry on another target.
     pub attempt_limits: bool,
-    /// Bound extra attempts by a budget.
+    /// Bound retries and hedges by a budget.
     pub retry_budget: bool,
     /// Share contended capacity among organisations by weight.
     pub fair_shares: bool,
-    /// Bound the requests at each target by what it serves well.
+    /// Bound the concurrent requests at each target.
     pub target_limits: bool,
 }
 
 impl Default for Switches {
     fn default() -> Self {
         Switches {
-            choosing: Choosing::Weighed,
+            choosing: Choosing::Adaptive,
             early_refusal: true,
             affinity: true,
             ejection: true,
@@ -53,7 +52,7 @@
 }
 
 impl Switches {
-    /// A simple policy: it chooses, retries failures, and does nothing else.
+    /// A baseline that only chooses targets and retries failures.
     pub fn baseline(choosing: Choosing) -> Self {
         Switches {
             choosing,
@@ -67,12 +66,12 @@
         }
     }
 
-    /// Chooses in the way that is switched on. `draw` is a random number,
-    /// `turn` counts choices.
+    /// Chooses by the configured policy. `draw` is a random number, `turn` the number of
+    /// earlier choices.
     pub fn choose(&self, candidates: &[Candidate], draw: u64, turn: usize) -> Option<Choice> {
         let count = candidates.len();
         let chosen = match self.choosing {
-            Choosing::Weighed => return choose(candidates, draw),
+            Choosing::Adaptive => return choose(candidates, draw),
             _ if count == 0 => return None,
             Choosing::Random => (draw % count as u64) as usize,
             Choosing::RoundRobin => turn % count,
@@ -85,14 +84,14 @@
     }
 }
 
-/// Position of the lowest reported load; a random one of those that are equal.
+/// Position of the lowest reported load; ties are broken by `draw`.
 fn least_reported(candidates: &[Candidate], draw: u64) -> usize {
     let lowest = candidates
         .iter()
         .map(|candidate| candidate.reported)
         .fold(f64::INFINITY, f64::min);
     let equal: Vec<usize> = (0..candidates.len())
-        .filter(|&at| candidates[at].reported <= lowest)
+        .filter(|&index| candidates[index].reported <= lowest)
         .collect();
     equal[(draw % equal.len() as u64) as usize]
 }
--- a/crates/routing/src/progress.rs
+++ b/crates/routing/src/progress.rs
@@ -1,32 +1,32 @@
-//! The one table from how far an attempt got to what may be said of it.
+//! Maps how far an attempt got to what is known of its execution.
 //!
-//! "Not run" is said only where it is certain: nothing was handed to a socket,
-//! or the target gave a refusal that the configuration declares final. All
-//! else that lacks a valid answer is unknown. The caller's answer is folded
-//! from the attempts of all stages by [`stage_status`] and [`outcome_of`].
+//! "Not run" requires precedence: no byte was passed to a socket, or the target refused in
+//! a way that the configuration declares final. Anything else without a valid answer is
+//! unknown. [`stage_status`] and [`outcome_of`] fold the attempts of all stages into the
+//! caller's answer.
 
 use serde::{Deserialize, Serialize};
 
 /// How far one attempt got.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Progress {
-    /// No target could be chosen.
+    /// No target was available.
     NotChosen,
-    /// A target was chosen, but its time was over before it was dialled.
+    /// A target was chosen, but the deadline passed before it was dialled.
     NotDialled,
-    /// Dialling failed; no byte was handed to a socket.
+    /// Dialling failed; no byte was passed to a socket.
     NothingSent,
-    /// The target refused in a way declared to mean "did not run".
+    /// The target refused in a way that is configured to mean "did not run".
     FinalRefusal,
-    /// The target refused in some other way.
+    /// The target refused in another way.
     OtherRefusal,
-    /// Some byte was handed to a socket and no valid answer came.
+    /// At least one byte was passed to a socket and no valid answer was received.
     Broken,
-    /// A whole answer with the right dispatch id.
+    /// A complete answer with the expected dispatch id.
     Answered,
 }
 
-/// What is known of one stage, or of one attempt at it.
+/// Execution status of one stage, or of one attempt at it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StageStatus {
@@ -35,19 +35,19 @@
     Ran,
 }
 
-/// What the caller is told of the whole request.
+/// Outcome of a request as reported to the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// Every stage ran and the whole answer is here.
+    /// Every stage ran and the answer is complete.
     Whole,
-    /// No stage ran; the request may safely be made again.
+    /// No stage ran; the request may safely be repeated.
     NotRun,
-    /// Some stage ran or may have run, and there is no whole answer.
+    /// A stage ran or may have run, and there is no complete answer.
     Unknown,
 }
 
-/// What an attempt proves.
+/// Status that one attempt proves.
 pub fn attempt_status(progress: Progress) -> StageStatus {
     match progress {
         Progress::NotChosen
@@ -59,17 +59,17 @@
     }
 }
 
-/// What all attempts at one stage prove together.
+/// Status that all attempts at one stage prove together.
 pub fn stage_status(attempts: impl IntoIterator<Item = Progress>) -> StageStatus {
     attempts
         .into_iter()
         .map(attempt_status)
-        .max_by_key(|status| certainty(*status))
+        .max_by_key(|status| precedence(*status))
         .unwrap_or(StageStatus::NotRun)
 }
 
-/// `Ran` outweighs `Unknown`, which outweighs `NotRun`.
-fn certainty(status: StageStatus) -> u8 {
+/// Precedence: `Ran`, then `Unknown`, then `NotRun`.
+fn precedence(status: StageStatus) -> u8 {
     match status {
         StageStatus::NotRun => 0,
         StageStatus::Unknown => 1,
@@ -77,7 +77,7 @@
     }
 }
 
-/// True when another attempt cannot make a stage run twice that must not.
+/// True when a retry can't run a non-repeatable stage twice.
 pub fn may_try_again(progress: Progress, repeatable: bool) -> bool {
     match attempt_status(progress) {
         StageStatus::NotRun => true,
@@ -86,8 +86,8 @@
     }
 }
 
-/// What the stages prove of the request; `whole` says that the last answer is
-/// here and complete.
+/// Outcome of a request from its stages; `whole` when the last answer was received
+/// completely.
 pub fn outcome_of(stages: &[StageStatus], whole: bool) -> Outcome {
     if whole && stages.iter().all(|status| *status == StageStatus::Ran) {
         Outcome::Whole
--- a/crates/routing/src/queue.rs
+++ b/crates/routing/src/queue.rs
@@ -1,29 +1,28 @@
-//! Who is next when a service has no free slot.
+//! Orders the requests that wait for a slot of a service.
 //!
-//! Requests wait at the entry, not at targets, so that their order can be
-//! chosen: first those of organisations within their share; among them by the
-//! operators' priority; among equals the one that has to start soonest to make
-//! its deadline.
+//! Requests wait at the entry rather than at targets so that their order can be chosen:
+//! organisations within their share first, then by the operators' priority, then by the
+//! latest start that still meets the deadline.
 
 use std::collections::BTreeMap;
 
 use crate::Millis;
 
-/// Place in a queue; smaller goes first.
+/// Sort key of a waiting request; smaller is served first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
-    /// Its organisation holds more than its share.
+    /// The organisation holds more than its share.
     pub over_share: bool,
-    /// The operators' priority, reversed: 0 is the most urgent.
+    /// Reversed priority: 0 is the most urgent.
     pub urgency: u8,
-    /// Latest moment at which a typical request would still make it.
+    /// Latest start at which a typical request would still meet its deadline.
     pub latest_start: Millis,
-    /// Order of arrival among equals; unique.
+    /// Unique arrival number.
     pub arrival: u64,
 }
 
 impl Rank {
-    /// Most urgent priority that operators can give.
+    /// Most urgent priority that operators can set.
     pub const MAX_PRIORITY: u8 = 9;
 
     /// Reverses a priority for [`Rank::urgency`].
@@ -32,7 +31,7 @@
     }
 }
 
-/// Requests that wait for a slot of one service.
+/// Requests waiting for a slot of one service.
 #[derive(Debug)]
 pub struct WaitQueue<T> {
     waiting: BTreeMap<Rank, T>,
@@ -51,22 +50,21 @@
         self.waiting.insert(rank, waiter);
     }
 
-    /// Takes out the one that is next.
+    /// Removes and returns the next request.
     pub fn pop(&mut self) -> Option<(Rank, T)> {
         self.waiting.pop_first()
     }
 
-    /// Takes out one that waits no longer.
     pub fn remove(&mut self, rank: &Rank) -> Option<T> {
         self.waiting.remove(rank)
     }
 
-    /// Number that goes before a newcomer of this rank.
+    /// Number of requests ahead of `rank`.
     pub fn ahead_of(&self, rank: &Rank) -> usize {
         self.waiting.range(..rank).count()
     }
 
-    /// True when somebody goes before a newcomer of this rank.
+    /// True when any request is ahead of `rank`.
     pub fn has_ahead_of(&self, rank: &Rank) -> bool {
         self.waiting.range(..rank).next().is_some()
     }
--- a/crates/routing/src/request_digest.rs
+++ b/crates/routing/src/request_digest.rs
@@ -1,43 +1,41 @@
-//! The name of a request by its content.
+//! Identifies a request by a digest of its content.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// The same for two requests of one caller that ask for the same with the same body.
+/// Equal for two requests of one caller with the same parameters and body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestDigest(pub [u8; RequestDigest::BYTES]);
 
 impl RequestDigest {
-    /// Its length; half of a SHA-256 hash, which is more than anybody can find a second
-    /// request for.
+    /// Length in bytes: half a SHA-256 hash, long enough to rule out second preimages.
     pub const BYTES: usize = 16;
 
-    /// The digest of what makes a request the same as another one, field by field. It is a
-    /// cryptographic hash, so that nobody can make up a request that passes for another
-    /// one, and it tells nothing of the fields.
+    /// Digest of the identifying fields of a request. A cryptographic hash, so that requests
+    /// can't be forged to match another one and the digest reveals nothing of the fields.
     pub fn of<'a>(fields: impl IntoIterator<Item = &'a [u8]>) -> Self {
         let mut hash = Sha256::new();
         for field in fields {
-            // With its length, no field can reach into the next one.
+            // The length prefix keeps field boundaries unambiguous.
             hash.update((field.len() as u64).to_be_bytes());
             hash.update(field);
         }
-        let whole = hash.finalize();
+        let full = hash.finalize();
         let mut digest = [0; RequestDigest::BYTES];
-        digest.copy_from_slice(&whole[..RequestDigest::BYTES]);
+        digest.copy_from_slice(&full[..RequestDigest::BYTES]);
         RequestDigest(digest)
     }
 
-    /// Reads the text that [`fmt::Display`] writes.
+    /// Parses the output of [`fmt::Display`].
     pub fn parse(text: &str) -> Option<Self> {
         let mut bytes = [0; RequestDigest::BYTES];
         if text.len() != 2 * bytes.len() || !text.is_ascii() {
             return None;
         }
-        for (at, byte) in bytes.iter_mut().enumerate() {
-            *byte = u8::from_str_radix(&text[2 * at..2 * at + 2], 16).ok()?;
+        for (index, byte) in bytes.iter_mut().enumerate() {
+            *byte = u8::from_str_radix(&text[2 * index..2 * index + 2], 16).ok()?;
         }
         Some(RequestDigest(bytes))
     }
--- a/crates/routing/tests/suite/budget.rs
+++ b/crates/routing/tests/suite/budget.rs
@@ -1,9 +1,9 @@
-//! Retries stay within their share of first attempts.
+//! The retry budget bounds retries relative to first attempts.
 
 use hollowsail_routing::RetryBudget;
 
 #[test]
-fn when_everything_fails_retries_stay_near_their_ratio() {
+fn retries_stay_near_the_ratio_if_all_fail() {
     let mut budget = RetryBudget::new(0.1);
     let firsts = 10_000;
     let retries = (0..firsts)
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_burst_of_failures_after_a_quiet_time_may_be_retried() {
+fn saved_tokens_cover_a_burst_of_failures() {
     let mut budget = RetryBudget::new(0.1);
     (0..1000).for_each(|_| budget.earn());
     let granted = (0..100).filter(|_| budget.spend()).count();
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_ratio_of_zero_grants_no_more_than_was_saved_at_the_start() {
+fn zero_ratio_grants_only_initial_tokens() {
     let mut budget = RetryBudget::new(0.0);
     let granted = (0..100)
         .filter(|_| {
@@ -36,10 +36,10 @@
 }
 
 #[test]
-fn a_share_bounds_what_is_saved_and_shrinks_with_more_entries() {
+fn share_bounds_saved_tokens() {
     let mut budget = RetryBudget::with_share(0.2, 3.0);
     let granted = (0..10).filter(|_| budget.spend()).count();
-    assert_eq!(granted, 3, "the share is there at the start");
+    assert_eq!(granted, 3, "a budget with a share starts full");
     (0..100).for_each(|_| budget.earn());
     budget.set_share(1.0);
     let granted = (0..10).filter(|_| budget.spend()).count();
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn entries_together_keep_to_the_ratio_and_the_extra() {
+fn all_entries_stay_within_ratio_and_extra() {
     let (entries, extra, ratio) = (9, 58.0, 0.2);
     let mut budgets = vec![RetryBudget::with_share(ratio, extra / f64::from(entries)); 9];
     let mut retries = 0;
@@ -56,5 +56,8 @@
         budget.earn();
         retries += usize::from(budget.spend());
     }
-    assert!(retries as f64 <= 900.0 * ratio + extra, "{retries} of 900");
+    assert!(
+        retries as f64 <= 900.0 * ratio + extra,
+        "{retries} retries of 900 requests"
+    );
 }
--- a/crates/routing/tests/suite/choose.rs
+++ b/crates/routing/tests/suite/choose.rs
@@ -1,4 +1,4 @@
-//! Which target gets an attempt.
+//! Choice of a target for an attempt.
 
 use std::collections::HashMap;
 
@@ -22,29 +22,29 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let mut shares = HashMap::new();
     for _ in 0..draws {
-        let choice = choose(candidates, rng.random()).expect("one is chosen");
+        let choice = choose(candidates, rng.random()).expect("a target is chosen");
         *shares.entry(choice.target).or_default() += 1;
     }
     shares
 }
 
 #[test]
-fn nobody_is_chosen_from_nobody() {
+fn no_candidates_give_no_choice() {
     assert_eq!(choose::<TargetKey>(&[], 7), None);
 }
 
 #[test]
-fn an_ejected_target_is_chosen_only_when_all_are() {
+fn ejected_target_is_chosen_only_if_all_are() {
     let mut candidates: Vec<_> = (0..4).map(candidate).collect();
     candidates[0].ejected = true;
     assert!(!shares(&candidates, 1000).contains_key(&TargetKey(0)));
     candidates.iter_mut().for_each(|c| c.ejected = true);
-    let choice = choose(&candidates, 3).expect("one has to serve");
+    let choice = choose(&candidates, 3).expect("a target is chosen");
     assert_eq!(choice.reason, Reason::AllEjected);
 }
 
 #[test]
-fn equal_targets_share_equally_and_a_slow_one_gets_less() {
+fn slow_target_gets_a_smaller_share() {
     let mut candidates: Vec<_> = (0..5).map(candidate).collect();
     let even = shares(&candidates, 10_000);
     assert!(even.values().all(|n| (1700..2300).contains(n)), "{even:?}");
@@ -55,19 +55,19 @@
 }
 
 #[test]
-fn a_preferred_engine_is_taken_until_it_is_loaded_above_the_bound() {
+fn affinity_holds_up_to_the_load_bound() {
     let mut candidates: Vec<_> = (0..4).map(candidate).collect();
-    for (at, candidate) in candidates.iter_mut().enumerate() {
-        candidate.affinity = Some(100 - at as u64);
+    for (index, candidate) in candidates.iter_mut().enumerate() {
+        candidate.affinity = Some(100 - index as u64);
         candidate.load = 2.0;
     }
-    let first = choose(&candidates, 1).expect("one");
+    let first = choose(&candidates, 1).expect("a target is chosen");
     assert_eq!(
         (first.target, first.reason),
         (TargetKey(0), Reason::Affinity)
     );
     candidates[0].load = 9.0;
-    let second = choose(&candidates, 1).expect("one");
+    let second = choose(&candidates, 1).expect("a target is chosen");
     assert_eq!(
         (second.target, second.reason),
         (TargetKey(1), Reason::Affinity)
--- a/crates/routing/tests/suite/crash_ledger.rs
+++ b/crates/routing/tests/suite/crash_ledger.rs
@@ -1,6 +1,6 @@
-//! Requests that end targets are told from those that only ran beside them.
+//! The crash ledger tells requests that crash targets from those that ran beside them.
 
-use hollowsail_routing::crash_ledger::{FIRST_REFUSED_MS, MOST_REFUSED_MS};
+use hollowsail_routing::crash_ledger::{FIRST_REFUSAL_MS, MOST_REFUSED_MS};
 use hollowsail_routing::{
     CrashLedger, CrashedRun, Demand, DeskEngine, EngineDesk, Millis, PlacementEnd, PlacementKey,
     RequestDigest, Standing, Versions,
@@ -14,7 +14,7 @@
     RequestDigest(bytes)
 }
 
-/// A target ended just now under a request that was sent to it at `sent`.
+/// Records a crash at `now` under a request sent at `sent`.
 fn crashed(
     ledger: &mut CrashLedger,
     now: Millis,
@@ -33,14 +33,14 @@
 }
 
 #[test]
-fn the_second_target_makes_a_suspect_and_the_third_a_refusal() {
+fn second_crash_suspects_and_third_refuses() {
     let mut ledger = CrashLedger::default();
     assert_eq!(crashed(&mut ledger, 1_000, digest(1), 500), Some(1));
     assert_eq!(ledger.standing(1_000, digest(1)), Standing::Unsuspected);
     assert_eq!(crashed(&mut ledger, 2_000, digest(1), 1_500), Some(2));
     assert_eq!(ledger.standing(2_000, digest(1)), Standing::Suspect);
     assert_eq!(crashed(&mut ledger, 3_000, digest(1), 2_500), Some(3));
-    let until = 3_000 + FIRST_REFUSED_MS;
+    let until = 3_000 + FIRST_REFUSAL_MS;
     assert_eq!(
         ledger.standing(3_000, digest(1)),
         Standing::Refused { until }
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn targets_that_end_together_count_once() {
+fn simultaneous_crashes_count_once() {
     let mut ledger = CrashLedger::default();
     assert_eq!(crashed(&mut ledger, 1_000, digest(1), 700), Some(1));
     for later in 1_001..1_010 {
@@ -58,12 +58,12 @@
     assert_eq!(
         crashed(&mut ledger, 1_020, digest(1), 1_001),
         Some(2),
-        "sent after"
+        "sent after the first crash"
     );
 }
 
 #[test]
-fn a_run_that_followed_at_once_counts_though_word_of_the_first_came_late() {
+fn immediate_retry_counts_within_tolerance() {
     let mut ledger = CrashLedger::default();
     let first = CrashedRun {
         sent: 900,
@@ -80,44 +80,47 @@
 }
 
 #[test]
-fn a_whole_answer_acquits() {
+fn complete_answer_clears_a_suspect() {
     let mut ledger = CrashLedger::default();
     crashed(&mut ledger, 1_000, digest(1), 0);
-    assert!(!ledger.served(digest(1)), "nobody else was told of it");
+    assert!(
+        !ledger.served(digest(1)),
+        "no suspect yet, so no entry to notify"
+    );
     crashed(&mut ledger, 2_000, digest(1), 1_500);
     crashed(&mut ledger, 3_000, digest(1), 2_500);
-    assert!(ledger.served(digest(1)), "all were told of it");
+    assert!(ledger.served(digest(1)), "the entries were notified");
     assert_eq!(crashed(&mut ledger, 4_000, digest(1), 3_500), Some(1));
 }
 
 #[test]
-fn after_its_time_one_more_target_refuses_it_again_for_twice_as_long() {
+fn refusal_doubles_with_each_further_crash() {
     let mut ledger = CrashLedger::default();
     crashed(&mut ledger, 1_000, digest(1), 0);
     crashed(&mut ledger, 2_000, digest(1), 1_500);
     let mut now = 3_000;
     for minutes in [1, 2, 4, 8, 10, 10] {
         crashed(&mut ledger, now, digest(1), now - 1);
-        let until = now + minutes * FIRST_REFUSED_MS;
+        let until = now + minutes * FIRST_REFUSAL_MS;
         let standing = ledger.standing(now, digest(1));
         assert_eq!(standing, Standing::Refused { until });
         assert_eq!(ledger.standing(until, digest(1)), Standing::Suspect);
         now = until + 500;
     }
-    assert_eq!(MOST_REFUSED_MS, 10 * FIRST_REFUSED_MS);
+    assert_eq!(MOST_REFUSED_MS, 10 * FIRST_REFUSAL_MS);
 }
 
 #[test]
-fn what_operators_take_back_is_a_suspect() {
+fn lifted_refusal_leaves_a_suspect() {
     let mut ledger = CrashLedger::default();
     ledger.told(0, digest(1), Standing::Refused { until: 60_000 });
     assert!(ledger.lifted(10, digest(1)));
     assert_eq!(ledger.standing(10, digest(1)), Standing::Suspect);
-    assert!(!ledger.lifted(20, digest(1)), "no news");
+    assert!(!ledger.lifted(20, digest(1)), "it was lifted already");
 }
 
 #[test]
-fn what_is_told_twice_is_no_news_and_never_weakens_what_is_known() {
+fn repeated_verdicts_change_nothing() {
     let mut ledger = CrashLedger::default();
     assert!(ledger.told(0, digest(1), Standing::Refused { until: 60_000 }));
     assert!(!ledger.told(5, digest(1), Standing::Refused { until: 60_005 }));
@@ -127,7 +130,7 @@
 }
 
 #[test]
-fn the_oldest_are_forgotten_where_there_is_no_room() {
+fn oldest_records_are_evicted_when_full() {
     let mut ledger = CrashLedger::default();
     for number in 0..20_000u32 {
         crashed(&mut ledger, u64::from(number) + 1, digest(number), 0);
@@ -141,7 +144,7 @@
 }
 
 #[test]
-fn a_crash_without_another_one_for_an_hour_is_forgotten() {
+fn single_crash_expires_after_an_hour() {
     let mut ledger = CrashLedger::default();
     crashed(&mut ledger, 1_000, digest(1), 0);
     assert_eq!(
@@ -151,7 +154,7 @@
 }
 
 #[test]
-fn a_digest_reads_its_own_text() {
+fn digest_parses_its_own_text() {
     let digest = RequestDigest([0xa7; RequestDigest::BYTES]);
     assert_eq!(RequestDigest::parse(&digest.to_string()), Some(digest));
     for bad in ["", "a7", "zz", "ä"] {
@@ -160,69 +163,69 @@
     }
 }
 
-/// Engines of the emulated day.
+/// Engines of the simulation.
 const ENGINES: usize = 12;
-/// How long an engine is away after it ended, in milliseconds.
-const AWAY_MS: Millis = 3_000;
-/// How long a generation runs, in milliseconds.
-const RUNS_MS: Millis = 900;
-/// How long after its sending a fatal request ends its engine, in milliseconds.
+/// Time until a crashed engine is back.
+const DOWN_MS: Millis = 3_000;
+/// Duration of a generation.
+const RUN_MS: Millis = 900;
+/// Time until a fatal request crashes its engine.
 const FATAL_AFTER_MS: Millis = 100;
-/// Between two sends of each fatal request, in milliseconds.
-const FATAL_EVERY_MS: Millis = 700;
+/// Interval between two sends of each fatal request.
+const FATAL_INTERVAL_MS: Millis = 700;
 
-/// Who sends what in an emulated minute.
+/// Load of a simulated minute.
 #[derive(Debug, Clone, Copy)]
 struct Load {
-    /// Requests that end their engine; numbered from 0.
+    /// Number of fatal requests; these have the lowest numbers.
     fatal: u32,
-    /// Times that a good request is sent at most.
-    tries: u32,
+    /// Most attempts for an innocent request.
+    attempts: u32,
     has_ledger: bool,
 }
 
-/// One try of a request.
+/// One attempt of a request.
 struct Run {
     request: u32,
     engine: usize,
     sent: Millis,
     key: PlacementKey,
-    tries: u32,
+    attempts: u32,
 }
 
-/// What came of an emulated minute.
+/// Counts of a simulated minute.
 #[derive(Debug, Default)]
 struct Outcome {
-    engines_ended: u32,
-    /// Good requests, those whose tries all broke off, and those refused.
-    good: u32,
+    engine_crashes: u32,
+    /// Innocent requests: all, those whose attempts all failed, and those refused.
+    innocent: u32,
     lost: u32,
-    refused_good: u32,
+    refused_innocent: u32,
 }
 
-/// A minute at 12 engines and 30 good requests a second.
+/// Simulated minute with 12 engines and 30 innocent requests per second.
 struct Minute {
     load: Load,
-    desk: EngineDesk<usize>,
+    scheduler: EngineDesk<usize>,
     ledger: CrashLedger,
     rng: SmallRng,
-    away_until: [Millis; ENGINES],
+    down_until: [Millis; ENGINES],
     running: Vec<Run>,
-    /// What comes again: when, which, and how often it was tried.
-    again: Vec<(Millis, u32, u32)>,
+    /// Pending retries: time, request, attempts so far.
+    retries: Vec<(Millis, u32, u32)>,
     outcome: Outcome,
 }
 
 impl Minute {
-    fn play(seed: u64, load: Load) -> Outcome {
+    fn run(seed: u64, load: Load) -> Outcome {
         let mut minute = Minute {
             load,
-            desk: EngineDesk::default(),
+            scheduler: EngineDesk::default(),
             ledger: CrashLedger::default(),
             rng: SmallRng::seed_from_u64(seed),
-            away_until: [0; ENGINES],
+            down_until: [0; ENGINES],
             running: Vec::new(),
-            again: Vec::new(),
+            retries: Vec::new(),
             outcome: Outcome::default(),
         };
         for now in (0..60_000).step_by(10) {
@@ -235,25 +238,25 @@
         self.set_engines(now);
         self.end_runs(now);
         for fatal in 0..self.load.fatal {
-            if (now + u64::from(fatal) * 230).is_multiple_of(FATAL_EVERY_MS) {
+            if (now + u64::from(fatal) * 230).is_multiple_of(FATAL_INTERVAL_MS) {
                 self.send(now, fatal, 0);
             }
         }
         if self.rng.random_bool(0.3) {
-            let number = self.load.fatal + self.outcome.good;
-            self.outcome.good += 1;
+            let number = self.load.fatal + self.outcome.innocent;
+            self.outcome.innocent += 1;
             self.send(now, number, 0);
         }
-        let again = std::mem::take(&mut self.again).into_iter();
-        let (due, later): (Vec<_>, Vec<_>) = again.partition(|(at, _, _)| *at <= now);
-        self.again = later;
-        for (_, request, tries) in due {
-            self.send(now, request, tries);
+        let retries = std::mem::take(&mut self.retries).into_iter();
+        let (due, later): (Vec<_>, Vec<_>) = retries.partition(|(time, _, _)| *time <= now);
+        self.retries = later;
+        for (_, request, attempts) in due {
+            self.send(now, request, attempts);
         }
     }
 
     fn set_engines(&mut self, now: Millis) {
-        let up = (0..ENGINES).filter(|engine| self.away_until[*engine] <= now);
+        let up = (0..ENGINES).filter(|engine| self.down_until[*engine] <= now);
         let engines: Vec<_> = up
             .map(|engine| DeskEngine {
                 key: engine,
@@ -264,20 +267,20 @@
                 limit: None,
             })
             .collect();
-        self.desk.set_engines(now, &engines);
+        self.scheduler.set_engines(now, &engines);
     }
 
     fn is_fatal(&self, request: u32) -> bool {
         request < self.load.fatal
     }
 
-    fn send(&mut self, now: Millis, request: u32, tries: u32) {
+    fn send(&mut self, now: Millis, request: u32, attempts: u32) {
         let standing = match self.load.has_ledger {
             true => self.ledger.standing(now, digest(request)),
             false => Standing::Unsuspected,
         };
         if let Standing::Refused { .. } = standing {
-            self.outcome.refused_good += u32::from(!self.is_fatal(request));
+            self.outcome.refused_innocent += u32::from(!self.is_fatal(request));
             return;
         }
         let demand = Demand {
@@ -295,7 +298,7 @@
         };
         let salt: u64 = self.rng.random();
         let affinity = |engine: &usize| (*engine as u64 + 1).wrapping_mul(salt);
-        let Some((key, engine)) = self.desk.place(now, &demand, affinity) else {
+        let Some((key, engine)) = self.scheduler.place(now, &demand, affinity) else {
             self.outcome.lost += u32::from(!self.is_fatal(request));
             return;
         };
@@ -304,39 +307,40 @@
             engine,
             sent: now,
             key,
-            tries: tries + 1,
+            attempts: attempts + 1,
         });
     }
 
     fn end_runs(&mut self, now: Millis) {
         let running = self.running.iter();
-        let ended: Vec<usize> = running
+        let crashed_engines: Vec<usize> = running
             .filter(|run| self.is_fatal(run.request) && now >= run.sent + FATAL_AFTER_MS)
             .map(|run| run.engine)
             .collect();
-        for engine in ended {
-            self.end_engine(now, engine);
+        for engine in crashed_engines {
+            self.crash_engine(now, engine);
         }
         let running = std::mem::take(&mut self.running).into_iter();
-        let (whole, running): (Vec<_>, Vec<_>) = running.partition(|run| now >= run.sent + RUNS_MS);
+        let (whole, running): (Vec<_>, Vec<_>) = running.partition(|run| now >= run.sent + RUN_MS);
         self.running = running;
         for run in whole {
-            self.desk.ended(run.key, PlacementEnd::Whole, now);
+            self.scheduler.ended(run.key, PlacementEnd::Whole, now);
             self.ledger.served(digest(run.request));
         }
     }
 
-    fn end_engine(&mut self, now: Millis, engine: usize) {
-        if self.away_until[engine] > now {
+    fn crash_engine(&mut self, now: Millis, engine: usize) {
+        if self.down_until[engine] > now {
             return;
         }
-        self.away_until[engine] = now + AWAY_MS;
-        self.outcome.engines_ended += 1;
+        self.down_until[engine] = now + DOWN_MS;
+        self.outcome.engine_crashes += 1;
         let running = std::mem::take(&mut self.running).into_iter();
-        let (broken, running): (Vec<_>, Vec<_>) = running.partition(|run| run.engine == engine);
+        let (interrupted, running): (Vec<_>, Vec<_>) =
+            running.partition(|run| run.engine == engine);
         self.running = running;
-        for run in broken {
-            self.desk.ended(run.key, PlacementEnd::Failed, now);
+        for run in interrupted {
+            self.scheduler.ended(run.key, PlacementEnd::Failed, now);
             let request = digest(run.request);
             let crash = CrashedRun {
                 sent: run.sent,
@@ -347,8 +351,8 @@
             if self.is_fatal(run.request) {
                 continue;
             }
-            match run.tries < self.load.tries {
-                true => self.again.push((now + 100, run.request, run.tries)),
+            match run.attempts < self.load.attempts {
+                true => self.retries.push((now + 100, run.request, run.attempts)),
                 false => self.outcome.lost += 1,
             }
         }
@@ -356,72 +360,78 @@
 }
 
 #[test]
-fn one_request_ends_three_engines_a_minute_instead_of_all_and_no_good_one_is_refused() {
+fn fatal_request_crashes_only_three_engines() {
     let load = |has_ledger| Load {
         fatal: 1,
-        tries: 2,
+        attempts: 2,
         has_ledger,
     };
     for seed in 1..=20 {
-        let without = Minute::play(seed, load(false));
-        let with = Minute::play(seed, load(true));
-        // Engines that end in a minute: 86 without the ledger, 3 with it. Of 1,710 to
-        // 1,890 good requests 17 to 30 are lost without it, none with it.
-        assert_eq!(without.engines_ended, 86, "seed {seed}: {without:?}");
-        assert_eq!(with.engines_ended, 3, "seed {seed}: {with:?}");
-        assert_eq!(with.refused_good, 0, "seed {seed}: {with:?}");
+        let without = Minute::run(seed, load(false));
+        let with = Minute::run(seed, load(true));
+        assert_eq!(without.engine_crashes, 86, "seed {seed}: {without:?}");
+        assert_eq!(with.engine_crashes, 3, "seed {seed}: {with:?}");
+        assert_eq!(with.refused_innocent, 0, "seed {seed}: {with:?}");
         assert!(with.lost <= 1 && without.lost > 10, "seed {seed}: {with:?}");
     }
 }
 
 #[test]
-fn good_requests_that_are_tried_often_beside_two_fatal_ones_are_not_refused() {
+fn two_fatal_requests_implicate_no_other() {
     let load = Load {
         fatal: 2,
-        tries: 6,
+        attempts: 6,
         has_ledger: true,
     };
     for seed in 1..=40 {
-        let got = Minute::play(seed, load);
-        assert_eq!(got.refused_good, 0, "seed {seed}: {got:?}");
-        assert_eq!(got.engines_ended, 6, "seed {seed}: {got:?}");
+        let outcome = Minute::run(seed, load);
+        assert_eq!(outcome.refused_innocent, 0, "seed {seed}: {outcome:?}");
+        assert_eq!(outcome.engine_crashes, 6, "seed {seed}: {outcome:?}");
     }
 }
 
 #[test]
-fn of_good_requests_beside_four_fatal_ones_few_are_blamed() {
+fn four_fatal_requests_implicate_few_others() {
     let load = Load {
         fatal: 4,
-        tries: 6,
+        attempts: 6,
         has_ledger: true,
     };
-    let minutes = (1..=40).map(|seed| Minute::play(seed, load));
-    let (refused, good) = minutes.fold((0, 0), |(refused, good), got| {
-        (refused + got.refused_good, good + got.good)
+    let minutes = (1..=40).map(|seed| Minute::run(seed, load));
+    let (refused, innocent) = minutes.fold((0, 0), |(refused, innocent), outcome| {
+        (
+            refused + outcome.refused_innocent,
+            innocent + outcome.innocent,
+        )
     });
-    // A third of the engines are away at a time; 614 of 71,847 are refused for a minute.
-    assert!(refused * 100 <= good, "{refused} of {good}");
+    assert!(
+        refused * 100 <= innocent,
+        "{refused} of {innocent} innocent requests refused"
+    );
 }
 
-/// The entry that counted was killed with its count: a fatal request ended ten of twelve
-/// targets, four of them after that, where it ends three while the entry lives.
+/// The count of a fatal request must survive the crash of the entry that kept it.
 #[test]
-fn a_count_goes_on_where_whoever_counted_is_gone() {
-    let mut anew = CrashLedger::default();
+fn count_survives_loss_of_the_counting_entry() {
+    let mut ledger = CrashLedger::default();
     let run = CrashedRun {
         sent: 500,
         ended: 900,
         was_suspect: true,
     };
-    assert_eq!(anew.crashed(1_000, digest(1), run), Some(3));
-    let standing = anew.standing(1_000, digest(1));
+    assert_eq!(ledger.crashed(1_000, digest(1), run), Some(3));
+    let standing = ledger.standing(1_000, digest(1));
     assert!(matches!(standing, Standing::Refused { .. }), "{standing:?}");
-    assert_eq!(anew.crashed(1_010, digest(1), run), None, "the same end");
+    assert_eq!(
+        ledger.crashed(1_010, digest(1), run),
+        None,
+        "the same crash"
+    );
 }
 
-/// A second report of the same end finds the request a suspect, by the first.
+/// A second report of a crash finds the request marked as a suspect by the first.
 #[test]
-fn two_reports_of_one_end_count_once_though_the_first_made_it_a_suspect() {
+fn two_reports_of_one_crash_count_once() {
     let mut ledger = CrashLedger::default();
     crashed(&mut ledger, 1_000, digest(1), 500);
     assert_eq!(crashed(&mut ledger, 2_000, digest(1), 1_500), Some(2));
--- a/crates/routing/tests/suite/deadline.rs
+++ b/crates/routing/tests/suite/deadline.rs
@@ -1,4 +1,4 @@
-//! How remaining time is shared.
+//! Division of the remaining time among stages.
 
 use hollowsail_routing::{plan, StageExpectation, TooLate};
 use proptest::prelude::*;
@@ -12,14 +12,14 @@
 }
 
 #[test]
-fn a_stage_leaves_what_its_successors_typically_need() {
-    let plan = plan(1000, &[stage(5, 10, 30), stage(50, 200, 400)]).expect("there is time");
+fn stage_leaves_typical_time_of_successors() {
+    let plan = plan(1000, &[stage(5, 10, 30), stage(50, 200, 400)]).expect("the stages fit");
     assert_eq!(plan.stage_ms, 800);
     assert_eq!(plan.attempt_ms, 90);
 }
 
 #[test]
-fn work_that_cannot_finish_is_refused_with_what_it_would_need() {
+fn late_request_is_rejected_with_needed_time() {
     let late = plan(54, &[stage(5, 10, 30), stage(50, 200, 400)]);
     assert_eq!(late, Err(TooLate { needed_ms: 55 }));
 }
@@ -27,7 +27,7 @@
 proptest! {
     #![proptest_config(crate::config(51))]
     #[test]
-    fn a_plan_fits_the_time_and_leaves_the_fast_time_of_the_rest(
+    fn plan_fits_the_remaining_time(
         remaining in 0u64..5000,
         times in prop::collection::vec((0u64..200, 0u64..500, 0u64..900), 1..6),
     ) {
--- a/crates/routing/tests/suite/engine.rs
+++ b/crates/routing/tests/suite/engine.rs
@@ -1,4 +1,4 @@
-//! Which engine gets a generation.
+//! Choice of an engine for a generation.
 
 use hollowsail_routing::{choose_engine, engine_goes_first, EngineCandidate};
 
@@ -15,32 +15,36 @@
 }
 
 #[test]
-fn the_engine_that_keeps_the_prefix_is_home() {
-    let choice = choose_engine(&[engine(3), engine(9), engine(5)], 10_000).expect("one of them");
+fn first_in_rendezvous_order_expects_prefix() {
+    let choice =
+        choose_engine(&[engine(3), engine(9), engine(5)], 10_000).expect("an engine is chosen");
     assert_eq!((choice.at, choice.is_home), (1, true));
 }
 
 #[test]
-fn a_few_requests_do_not_drive_a_long_prefix_away() {
-    let mut home = engine(9);
-    home.load = 0.3;
-    home.unread_tokens = 4_000;
+fn long_prefix_outweighs_moderate_load() {
+    let mut preferred = engine(9);
+    preferred.load = 0.3;
+    preferred.unread_tokens = 4_000;
     assert_eq!(
-        choose_engine(&[engine(3), home], 13_000).map(|c| c.at),
+        choose_engine(&[engine(3), preferred], 13_000).map(|c| c.at),
         Some(1)
     );
-    home.unread_tokens = 40_000;
-    let away = choose_engine(&[engine(3), home], 13_000).expect("one of them");
-    assert_eq!((away.at, away.is_home), (0, false));
+    preferred.unread_tokens = 40_000;
+    let other = choose_engine(&[engine(3), preferred], 13_000).expect("an engine is chosen");
+    assert_eq!((other.at, other.is_home), (0, false));
 }
 
 #[test]
-fn large_results_outweigh_a_short_prefix_and_not_a_long_one() {
-    let mut far = engine(9);
-    far.outside_bytes = 6_000_000;
-    assert_eq!(choose_engine(&[engine(3), far], 350).map(|c| c.at), Some(0));
+fn large_results_outweigh_only_a_short_prefix() {
+    let mut remote = engine(9);
+    remote.outside_bytes = 6_000_000;
     assert_eq!(
-        choose_engine(&[engine(3), far], 13_000).map(|c| c.at),
+        choose_engine(&[engine(3), remote], 350).map(|c| c.at),
+        Some(0)
+    );
+    assert_eq!(
+        choose_engine(&[engine(3), remote], 13_000).map(|c| c.at),
         Some(1)
     );
     assert!(engine_goes_first(13_000, 6_000_000));
@@ -48,23 +52,23 @@
 }
 
 #[test]
-fn ejected_engines_serve_only_when_all_are_out() {
-    let out = EngineCandidate {
+fn ejected_engines_serve_only_if_all_are() {
+    let ejected = EngineCandidate {
         ejected: true,
         ..engine(9)
     };
     assert_eq!(
-        choose_engine(&[engine(3), out], 13_000).map(|c| c.at),
+        choose_engine(&[engine(3), ejected], 13_000).map(|c| c.at),
         Some(0)
     );
-    assert!(choose_engine(&[out, out], 13_000).is_some());
+    assert!(choose_engine(&[ejected, ejected], 13_000).is_some());
     assert_eq!(choose_engine(&[], 13_000), None);
 }
 
 #[test]
-fn equal_costs_go_in_rendezvous_order_so_that_all_entries_agree() {
-    let mut home = engine(9);
-    home.unread_tokens = 100_000;
-    let candidates = [engine(3), home, engine(5)];
+fn equal_costs_follow_rendezvous_order() {
+    let mut preferred = engine(9);
+    preferred.unread_tokens = 100_000;
+    let candidates = [engine(3), preferred, engine(5)];
     assert_eq!(choose_engine(&candidates, 1_000).map(|c| c.at), Some(2));
 }
--- a/crates/routing/tests/suite/limit.rs
+++ b/crates/routing/tests/suite/limit.rs
@@ -1,4 +1,4 @@
-//! Targets that name a limit, under loads that want more than they take.
+//! Pacing of requests to targets with a limit, under more demand than they accept.
 
 use hollowsail_routing::limit::SETTLED_AFTER_MS;
 use hollowsail_routing::{
@@ -6,37 +6,37 @@
 };
 use proptest::prelude::*;
 
-/// The span over which operators count, in milliseconds.
-const SPAN_MS: Millis = 4_000;
+/// Window over which operators count requests.
+const WINDOW_MS: Millis = 4_000;
 
 fn settled() -> LimitShare {
     LimitShare::owned_for(SETTLED_AFTER_MS)
 }
 
-fn new() -> LimitShare {
+fn recent() -> LimitShare {
     LimitShare::owned_for(0)
 }
 
-/// What a target that names `per_s` may get in a span.
+/// Most requests allowed in a window under a limit of `per_s`.
 fn allowed(per_s: f64) -> usize {
-    (per_s * 1.5 * SPAN_MS as f64 / 1_000.0 + 5.0) as usize
+    (per_s * 1.5 * WINDOW_MS as f64 / 1_000.0 + 5.0) as usize
 }
 
-fn most_in_span(sent: &[Millis]) -> usize {
+fn most_in_window(sent: &[Millis]) -> usize {
     let within = |last: Millis| {
-        let in_span = |at: &&Millis| **at <= last && **at + SPAN_MS > last;
-        sent.iter().filter(in_span).count()
+        let in_window = |time: &&Millis| **time <= last && **time + WINDOW_MS > last;
+        sent.iter().filter(in_window).count()
     };
-    sent.iter().map(|at| within(*at)).max().unwrap_or(0)
+    sent.iter().map(|time| within(*time)).max().unwrap_or(0)
 }
 
-/// Sends of one sender that sends whenever it may, over so many milliseconds.
-fn all_sends(per_s: f64, part: LimitShare, lasts: Millis) -> Vec<Millis> {
+/// Times of requests from one sender that sends as often as allowed, in milliseconds.
+fn all_sends(per_s: f64, share: LimitShare, duration: Millis) -> Vec<Millis> {
     let mut gate = LimitGate::default();
     let mut sent = Vec::new();
-    for now in 0..lasts {
-        while gate.opens(now, Some(per_s), part) == now {
-            gate.sent(now, Some(per_s), part);
+    for now in 0..duration {
+        while gate.opens(now, Some(per_s), share) == now {
+            gate.sent(now, Some(per_s), share);
             sent.push(now);
         }
     }
@@ -44,53 +44,59 @@
 }
 
 #[test]
-fn a_settled_owner_uses_nearly_all_of_a_limit_and_keeps_to_it() {
+fn settled_owner_uses_nearly_all_of_the_limit() {
     for per_s in [0.2, 0.5, 1.0, 3.0, 17.0, 300.0] {
         let sent = all_sends(per_s, settled(), 40_000);
-        let most = most_in_span(&sent);
+        let most = most_in_window(&sent);
         assert!(
             most <= (per_s * 4.0).ceil() as usize + 2,
-            "{most} at {per_s}"
+            "{most} requests at a limit of {per_s}"
         );
         let used = sent.len() as f64 / (per_s * 40.0);
-        assert!(used > 0.9, "{used} at {per_s}");
+        assert!(used > 0.9, "share {used} used at a limit of {per_s}");
     }
 }
 
-/// The owner of before takes itself for the owner still, while the next one sends too.
+/// The previous owner still sends while the next one has started.
 #[test]
-fn two_owners_stay_below_what_operators_allow() {
+fn two_owners_stay_below_allowed_rate() {
     for per_s in [0.2, 1.0, 3.0, 17.0, 300.0] {
         let mut sent = all_sends(per_s, settled(), 12_000);
-        sent.extend(all_sends(per_s, new(), 12_000));
+        sent.extend(all_sends(per_s, recent(), 12_000));
         sent.sort_unstable();
-        let most = most_in_span(&sent);
-        assert!(most <= allowed(per_s), "{most} at {per_s}");
+        let most = most_in_window(&sent);
+        assert!(
+            most <= allowed(per_s),
+            "{most} requests at a limit of {per_s}"
+        );
     }
 }
 
-/// Eight entries that know of no others each take themselves for the owner.
+/// Eight entries without a member list all assume ownership.
 #[test]
-fn entries_that_know_of_no_others_stay_below_a_limit_together() {
+fn unlisted_entries_stay_below_allowed_rate() {
     for per_s in [0.2, 1.0, 3.0, 17.0, 300.0] {
         let mut sent: Vec<Millis> = (0..8)
             .flat_map(|_| all_sends(per_s, LimitShare::unlisted(), 12_000))
             .collect();
         sent.sort_unstable();
-        let most = most_in_span(&sent);
-        // Each may begin with one.
-        assert!(most <= allowed(per_s) + 8, "{most} at {per_s}");
+        let most = most_in_window(&sent);
+        // Each may start with one request.
+        assert!(
+            most <= allowed(per_s) + 8,
+            "{most} requests at a limit of {per_s}"
+        );
     }
 }
 
 #[test]
-fn a_limit_of_nothing_lets_a_request_through_now_and_then() {
+fn zero_limit_still_allows_rare_requests() {
     let sent = all_sends(0.0, settled(), 60_000);
-    assert!((10..=13).contains(&sent.len()), "{}", sent.len());
+    assert!((10..=13).contains(&sent.len()), "{} requests", sent.len());
 }
 
 #[test]
-fn a_limit_that_rises_or_ends_is_used_at_once_and_one_that_falls_is_kept_to() {
+fn limit_changes_take_effect_at_once() {
     let mut gate = LimitGate::default();
     for _ in 0..2 {
         gate.sent(0, Some(0.2), settled());
@@ -111,30 +117,29 @@
             sent += 1;
         }
     }
-    assert!((4..=6).contains(&sent), "{sent}");
+    assert!((4..=6).contains(&sent), "{sent} requests");
 }
 
 proptest! {
-    /// Whatever the limit does and whenever callers come, no span gets more than the
-    /// highest limit of it allows.
+    /// Under changing limits and demand, no window exceeds what the highest limit allows.
     #[test]
-    fn no_order_of_limits_and_lulls_lets_more_through(
+    fn limit_changes_and_idle_times_keep_the_bound(
         steps in prop::collection::vec((0_u64..3_000, 0.2_f64..50.0, any::<bool>()), 1..20),
     ) {
         let mut gate = LimitGate::default();
         let mut sent = Vec::new();
         let (mut now, mut highest) = (0, 0.0_f64);
-        for (lasts, per_s, comes) in steps {
+        for (duration, per_s, is_busy) in steps {
             highest = highest.max(per_s);
-            for _ in 0..lasts {
+            for _ in 0..duration {
                 now += 1;
-                while comes && gate.opens(now, Some(per_s), settled()) == now {
+                while is_busy && gate.opens(now, Some(per_s), settled()) == now {
                     gate.sent(now, Some(per_s), settled());
                     sent.push(now);
                 }
             }
         }
-        prop_assert!(most_in_span(&sent) <= allowed(highest));
+        prop_assert!(most_in_window(&sent) <= allowed(highest));
     }
 }
 
@@ -165,17 +170,17 @@
     }
 }
 
-fn desk(engines: &[DeskEngine<&'static str>]) -> EngineDesk<&'static str> {
-    let mut desk = EngineDesk::default();
-    desk.set_limit_share(settled());
-    desk.set_engines(0, engines);
-    desk
+fn scheduler(engines: &[DeskEngine<&'static str>]) -> EngineDesk<&'static str> {
+    let mut scheduler = EngineDesk::default();
+    scheduler.set_limit_share(settled());
+    scheduler.set_engines(0, engines);
+    scheduler
 }
 
-/// Places as many demands as find an engine; which ones they got.
-fn place_all(desk: &mut EngineDesk<&'static str>, now: Millis) -> Vec<&'static str> {
+/// Places demands until no engine is open, 100 at most; returns their engines.
+fn place_all(scheduler: &mut EngineDesk<&'static str>, now: Millis) -> Vec<&'static str> {
     let mut placed = Vec::new();
-    while let Some((_, engine)) = desk.place(now, &demand(Vec::new()), |_| 0) {
+    while let Some((_, engine)) = scheduler.place(now, &demand(Vec::new()), |_| 0) {
         placed.push(engine);
         if placed.len() == 100 {
             break;
@@ -185,62 +190,74 @@
 }
 
 #[test]
-fn a_desk_gives_an_engine_what_it_takes_and_others_the_rest() {
-    let mut desk = desk(&[engine("limited", Some(2.0)), engine("free", None)]);
+fn unlimited_engine_takes_the_excess() {
+    let mut scheduler = scheduler(&[engine("limited", Some(2.0)), engine("free", None)]);
     let mut limited = 0;
     for now in (0..10_000).step_by(100) {
-        let placed = place_all(&mut desk, now);
-        assert_eq!(placed.len(), 100, "the other one takes all else");
+        let placed = place_all(&mut scheduler, now);
+        assert_eq!(placed.len(), 100, "the unlimited engine takes the rest");
         limited += placed.iter().filter(|key| **key == "limited").count();
     }
-    assert!((17..=22).contains(&limited), "{limited}");
+    assert!((17..=22).contains(&limited), "{limited} requests");
 }
 
 #[test]
-fn a_desk_tells_a_demands_turn_by_its_place_and_the_engines_rates() {
-    let mut desk = desk(&[engine("a", Some(2.0)), engine("b", Some(2.0))]);
-    assert_eq!(place_all(&mut desk, 0).len(), 4, "a burst each");
-    let Turn { in_ms, per_s } = desk.turn(0, &demand(vec![]), 0).expect("they open");
+fn wait_estimate_follows_queue_and_rates() {
+    let mut scheduler = scheduler(&[engine("a", Some(2.0)), engine("b", Some(2.0))]);
+    assert_eq!(
+        place_all(&mut scheduler, 0).len(),
+        4,
+        "one burst per engine"
+    );
+    let Turn { in_ms, per_s } = scheduler
+        .turn(0, &demand(vec![]), 0)
+        .expect("an engine opens");
     assert!(
         (500..=530).contains(&in_ms) && per_s > 3.7,
-        "{in_ms} {per_s}"
+        "in {in_ms} ms at {per_s} per second"
     );
-    let behind = desk.turn(0, &demand(vec![]), 4).expect("they open").in_ms;
-    assert!((1_500..=1_600).contains(&behind), "{behind}");
-    assert_eq!(desk.turn(0, &demand(vec!["a", "b"]), 0), None);
-    assert_eq!(desk.next_opening(0), Some(in_ms));
-    assert!(!desk.is_any_open(0) && desk.is_any_open(in_ms));
-    desk.set_engines(0, &[engine("a", None), engine("b", Some(2.0))]);
-    assert!(desk.is_any_open(0), "the limit ended");
+    let behind = scheduler
+        .turn(0, &demand(vec![]), 4)
+        .expect("an engine opens")
+        .in_ms;
+    assert!((1_500..=1_600).contains(&behind), "in {behind} ms");
+    assert_eq!(scheduler.turn(0, &demand(vec!["a", "b"]), 0), None);
+    assert_eq!(scheduler.next_opening(0), Some(in_ms));
+    assert!(!scheduler.is_any_open(0) && scheduler.is_any_open(in_ms));
+    scheduler.set_engines(0, &[engine("a", None), engine("b", Some(2.0))]);
+    assert!(scheduler.is_any_open(0), "engine a has no limit any more");
 }
 
 #[test]
-fn a_line_goes_by_urgency_and_then_by_arrival() {
-    let mut line = DemandQueue::default();
-    let late = line.push(2, 900, "late");
-    line.push(1, 500, "first");
-    line.push(1, 800, "second");
-    let order: Vec<_> = line.iter().map(|(_, demand)| *demand).collect();
+fn queue_orders_by_urgency_then_arrival() {
+    let mut queue = DemandQueue::default();
+    let late = queue.push(2, 900, "late");
+    queue.push(1, 500, "first");
+    queue.push(1, 800, "second");
+    let order: Vec<_> = queue.iter().map(|(_, demand)| *demand).collect();
     assert_eq!(order, ["first", "second", "late"]);
     assert_eq!(
-        (line.ahead_of(0), line.ahead_of(1), line.ahead_of(9)),
+        (queue.ahead_of(0), queue.ahead_of(1), queue.ahead_of(9)),
         (0, 2, 3)
     );
-    assert_eq!(line.take_expired(500), ["first"]);
-    assert_eq!(line.remove(late), Some("late"));
-    assert_eq!(line.remove(late), None);
-    assert!(!line.is_empty());
+    assert_eq!(queue.take_expired(500), ["first"]);
+    assert_eq!(queue.remove(late), Some("late"));
+    assert_eq!(queue.remove(late), None);
+    assert!(!queue.is_empty());
 }
 
-/// Callers that are turned away together come back one after the other, not all at once,
-/// and none is sent away for long.
+/// Callers rejected together must not all retry at once, nor wait for long.
 #[test]
-fn callers_that_are_turned_away_come_back_at_the_rate_of_the_engines() {
-    let mut line: DemandQueue<()> = DemandQueue::default();
-    let returns: Vec<Millis> = (0..10).map(|_| line.return_in(1_000, 400, 10.0)).collect();
-    assert_eq!(returns[0], 400);
-    assert!(returns.windows(2).all(|pair| pair[1] == pair[0] + 100));
-    let later = (0..1_000).map(|_| line.return_in(1_000, 400, 10.0)).max();
+fn retry_times_are_spaced_at_engine_rate() {
+    let mut queue: DemandQueue<()> = DemandQueue::default();
+    let retry_times: Vec<Millis> = (0..10).map(|_| queue.return_in(1_000, 400, 10.0)).collect();
+    assert_eq!(retry_times[0], 400);
+    assert!(retry_times.windows(2).all(|pair| pair[1] == pair[0] + 100));
+    let later = (0..1_000).map(|_| queue.return_in(1_000, 400, 10.0)).max();
     assert_eq!(later, Some(3_000));
-    assert_eq!(line.return_in(9_000, 50, 10.0), 50, "those are back");
+    assert_eq!(
+        queue.return_in(9_000, 50, 10.0),
+        50,
+        "earlier retry times have passed"
+    );
 }
--- a/crates/routing/tests/suite/main.rs
+++ b/crates/routing/tests/suite/main.rs
@@ -1,21 +1,21 @@
-//! The decisions of traffic.
+//! Tests of the routing decisions.
 
 mod admission;
 mod budget;
 mod choose;
-mod cold;
 mod crash_ledger;
 mod deadline;
-mod desk;
 mod engine;
+mod event_loop_lag;
 mod health;
 mod limit;
-mod pace;
+mod prefill_times;
 mod progress;
 mod random_admission;
-mod reading;
+mod scheduler;
+mod warm_up;
 
-/// The same cases in every run; the long mode has more.
+/// Fixed seed for reproducible cases; `HOLLOWSAIL_CASES` sets their number.
 pub fn config(seed: u64) -> proptest::test_runner::Config {
     let cases = std::env::var("HOLLOWSAIL_CASES")
         .ok()
--- a/crates/routing/tests/suite/reading.rs
+++ b/crates/routing/tests/suite/prefill_times.rs
@@ -1,9 +1,9 @@
-//! How long engines need for a prompt.
+//! Estimates of the time to the first event by prompt length.
 
 use hollowsail_routing::ReadingTimes;
 
 #[test]
-fn a_first_guess_counts_until_some_times_are_known() {
+fn initial_estimate_applies_with_few_samples() {
     let mut times = ReadingTimes::default();
     assert_eq!(times.expected_ms(1_000), 130);
     (0..5).for_each(|_| times.record(1_000, 900));
@@ -11,20 +11,23 @@
 }
 
 #[test]
-fn longer_prompts_are_expected_later() {
+fn expected_time_grows_with_prompt_length() {
     let mut times = ReadingTimes::default();
-    for at in 0..100 {
-        let tokens = 500 + at % 10 * 400;
+    for index in 0..100 {
+        let tokens = 500 + index % 10 * 400;
         times.record(tokens, 50 + tokens / 20);
     }
     for (tokens, ms) in [(0, 50), (2_000, 150), (10_000, 550)] {
-        let got = times.expected_ms(tokens);
-        assert!(got.abs_diff(ms) <= 2, "{tokens} tokens: {got}, not {ms}");
+        let expected = times.expected_ms(tokens);
+        assert!(
+            expected.abs_diff(ms) <= 2,
+            "{tokens} tokens: expected {expected} ms, not {ms} ms"
+        );
     }
 }
 
 #[test]
-fn prompts_of_one_length_say_nothing_of_others_and_old_times_fade() {
+fn equal_lengths_give_a_flat_line_that_decays() {
     let mut times = ReadingTimes::default();
     (0..100).for_each(|_| times.record(1_000, 300));
     assert_eq!(times.expected_ms(5_000), 300);
@@ -33,13 +36,13 @@
 }
 
 #[test]
-fn no_line_falls_below_nothing() {
+fn base_and_slope_are_never_negative() {
     let mut times = ReadingTimes::default();
-    for at in 0..100 {
-        times.record(1_000 + at, 400 - at);
+    for index in 0..100 {
+        times.record(1_000 + index, 400 - index);
     }
     assert!(times.expected_ms(100_000) <= 400);
     let mut times = ReadingTimes::default();
-    (0..50).for_each(|at| times.record(1_000 + at, at * 20));
+    (0..50).for_each(|index| times.record(1_000 + index, index * 20));
     assert!(times.expected_ms(0) <= 1_000);
 }
--- a/crates/routing/tests/suite/progress.rs
+++ b/crates/routing/tests/suite/progress.rs
@@ -1,7 +1,4 @@
-//! The not-run table against a model of what a target may have done.
-//!
-//! The model target knows whether it executed; the entry sees only how far the
-//! attempt got. Whatever the target did, the table's word must be true.
+//! Checks the reported status against a model target that knows whether it executed.
 
 use hollowsail_routing::{
     attempt_status, may_try_again, outcome_of, stage_status, Outcome, Progress, StageStatus,
@@ -21,41 +18,41 @@
     ]
 }
 
-/// Runs a stage as the entry does: until an answer, or nothing may follow.
+/// Runs a stage as the entry does: until an answer, or until no retry is allowed.
 fn run_stage(attempts: &[(Progress, bool)], repeatable: bool) -> (Vec<Progress>, usize) {
-    let mut made = Vec::new();
+    let mut attempted = Vec::new();
     let mut executed = 0;
     for (progress, ran) in attempts {
-        made.push(*progress);
+        attempted.push(*progress);
         executed += usize::from(*ran);
         if !may_try_again(*progress, repeatable) {
             break;
         }
     }
-    (made, executed)
+    (attempted, executed)
 }
 
 proptest! {
     #![proptest_config(crate::config(41))]
     #[test]
-    fn what_is_said_of_a_request_is_true(
+    fn reported_outcome_matches_execution(
         stages in prop::collection::vec((prop::collection::vec(attempt(), 0..4), any::<bool>()), 1..6),
     ) {
         let mut statuses = Vec::new();
-        let mut executed_at_all = false;
+        let mut any_executed = false;
         for (attempts, repeatable) in &stages {
-            let (made, executed) = run_stage(attempts, *repeatable);
-            let status = stage_status(made.iter().copied());
+            let (attempted, executed) = run_stage(attempts, *repeatable);
+            let status = stage_status(attempted.iter().copied());
             if !repeatable {
-                prop_assert!(executed <= 1, "a stage ran twice that must not");
+                prop_assert!(executed <= 1, "a non-repeatable stage ran {executed} times");
             }
             if status == StageStatus::NotRun {
-                prop_assert_eq!(executed, 0, "said not run, and it ran");
+                prop_assert_eq!(executed, 0, "reported as not run, but it ran");
             }
             if status == StageStatus::Ran {
                 prop_assert!(executed >= 1);
             }
-            executed_at_all |= executed > 0;
+            any_executed |= executed > 0;
             statuses.push(status);
             if status != StageStatus::Ran {
                 break;
@@ -64,7 +61,7 @@
         statuses.resize(stages.len(), StageStatus::NotRun);
         let reached_end = statuses.last() == Some(&StageStatus::Ran);
         match outcome_of(&statuses, reached_end) {
-            Outcome::NotRun => prop_assert!(!executed_at_all, "said not run, and it ran"),
+            Outcome::NotRun => prop_assert!(!any_executed, "reported as not run, but it ran"),
             Outcome::Whole => prop_assert!(statuses.iter().all(|s| *s == StageStatus::Ran)),
             Outcome::Unknown => {}
         }
@@ -72,7 +69,7 @@
 }
 
 #[test]
-fn the_table_row_by_row() {
+fn status_and_retry_table() {
     use Progress::*;
     let rows = [
         (NotChosen, StageStatus::NotRun, true, true),
@@ -83,13 +80,13 @@
         (Broken, StageStatus::Unknown, true, false),
         (Answered, StageStatus::Ran, false, false),
     ];
-    for (progress, status, again_if_repeatable, again_if_not) in rows {
+    for (progress, status, retry_if_repeatable, retry_if_not) in rows {
         assert_eq!(attempt_status(progress), status, "{progress:?}");
         assert_eq!(
             may_try_again(progress, true),
-            again_if_repeatable,
+            retry_if_repeatable,
             "{progress:?}"
         );
-        assert_eq!(may_try_again(progress, false), again_if_not, "{progress:?}");
+        assert_eq!(may_try_again(progress, false), retry_if_not, "{progress:?}");
     }
 }
--- a/crates/routing/tests/suite/random_admission.rs
+++ b/crates/routing/tests/suite/random_admission.rs
@@ -1,11 +1,11 @@
-//! Admission of drawn requests: it agrees with a plain account of all ways, and
-//! more load or less time never helps.
+//! Property tests of admission: the critical path matches an exhaustive search, and more
+//! load or less time never helps.
 
 use hollowsail_routing::{admit, longest_way, ServiceLoad, StageDemand, StageExpectation, Verdict};
 use proptest::prelude::*;
 
-/// A stage's position's needs as bits, and its demand.
-type Drawn = (u8, Option<StageDemand>);
+/// Predecessors of a stage as a bit set, and its demand.
+type RandomStage = (u8, Option<StageDemand>);
 
 fn demand() -> impl Strategy<Value = StageDemand> {
     (0u64..400, 0u64..400, 0u32..40, 0u32..200).prop_map(|(fast, more, slots, ahead)| StageDemand {
@@ -21,70 +21,72 @@
     })
 }
 
-fn stages() -> impl Strategy<Value = Vec<Drawn>> {
+fn stages() -> impl Strategy<Value = Vec<RandomStage>> {
     prop::collection::vec((any::<u8>(), prop::option::of(demand())), 0..6)
 }
 
-fn after(at: usize, bits: u8) -> Vec<usize> {
-    (0..at).filter(|bit| bits & (1 << bit) != 0).collect()
+fn predecessors(stage: usize, bits: u8) -> Vec<usize> {
+    (0..stage).filter(|bit| bits & (1 << bit) != 0).collect()
 }
 
-/// What `admit` says is needed, whatever the time left.
-fn needed(stages: &[StageDemand]) -> f64 {
+/// Time that `admit` reports as needed, in milliseconds.
+fn needed_ms(stages: &[StageDemand]) -> f64 {
     match admit(0, stages, 0.0) {
         Verdict::Admit => 0.0,
         Verdict::CannotFinish(ms) => ms as f64,
     }
 }
 
-/// The longest of all ways that end at a stage, found by trying each.
-fn longest_to(stages: &[Drawn], at: usize) -> f64 {
-    let (bits, demand) = &stages[at];
-    let before = after(at, *bits).into_iter().map(|s| longest_to(stages, s));
-    before.fold(0.0, f64::max) + demand.map_or(0.0, |demand| exact(&demand))
+/// Length of the longest path that ends at a stage, by exhaustive search.
+fn longest_to(stages: &[RandomStage], stage: usize) -> f64 {
+    let (bits, demand) = &stages[stage];
+    let lengths = predecessors(stage, *bits)
+        .into_iter()
+        .map(|s| longest_to(stages, s));
+    lengths.fold(0.0, f64::max) + demand.map_or(0.0, |demand| exact_ms(&demand))
 }
 
-fn exact(demand: &StageDemand) -> f64 {
+fn exact_ms(demand: &StageDemand) -> f64 {
     let typical = demand.expected.typical_ms;
     demand.load.wait_ms(typical) + typical as f64
 }
 
 proptest! {
     #[test]
-    fn the_longest_way_is_the_longest_of_all(drawn in stages()) {
-        let lists: Vec<Vec<usize>> = (0..drawn.len()).map(|at| after(at, drawn[at].0)).collect();
-        let with_needs = lists.iter().zip(&drawn).map(|(after, (_, demand))| (after.as_slice(), *demand));
-        let way = longest_way(with_needs);
-        let best = (0..drawn.len()).map(|at| longest_to(&drawn, at)).fold(0.0, f64::max);
-        let found: f64 = way.iter().map(exact).sum();
-        prop_assert!((found - best).abs() < 1e-6, "{} instead of {}", found, best);
+    fn critical_path_matches_exhaustive_search(random_stages in stages()) {
+        let lists: Vec<Vec<usize>> = (0..random_stages.len()).map(|stage| predecessors(stage, random_stages[stage].0)).collect();
+        let stages = lists.iter().zip(&random_stages).map(|(list, (_, demand))| (list.as_slice(), *demand));
+        let path = longest_way(stages);
+        let best = (0..random_stages.len()).map(|stage| longest_to(&random_stages, stage)).fold(0.0, f64::max);
+        let found: f64 = path.iter().map(exact_ms).sum();
+        prop_assert!((found - best).abs() < 1e-6, "{} ms, expected {} ms", found, best);
     }
 
     #[test]
-    fn more_load_never_shortens_and_more_slots_never_lengthen(
-        mut way in prop::collection::vec(demand(), 1..6),
-        at in any::<prop::sample::Index>(),
+    fn needed_time_is_monotonic_in_load_and_slots(
+        mut path in prop::collection::vec(demand(), 1..6),
+        index in any::<prop::sample::Index>(),
         more in 1u32..50,
     ) {
-        let before = needed(&way);
-        let at = at.index(way.len());
-        way[at].load.ahead += f64::from(more);
-        let loaded = needed(&way);
+        let before = needed_ms(&path);
+        let index = index.index(path.len());
+        path[index].load.ahead += f64::from(more);
+        let loaded = needed_ms(&path);
         prop_assert!(loaded >= before);
-        way[at].load.slots += f64::from(more);
-        prop_assert!(needed(&way) <= loaded);
+        path[index].load.slots += f64::from(more);
+        prop_assert!(needed_ms(&path) <= loaded);
     }
 
     #[test]
-    fn what_is_admitted_is_admitted_with_more_time_and_less_caution(
-        way in prop::collection::vec(demand(), 0..6),
-        left in 0u64..3_000,
+    fn admission_is_monotonic_in_time_and_caution(
+        path in prop::collection::vec(demand(), 0..6),
+        remaining in 0u64..3_000,
         more in 0u64..1_000,
         caution in 0.0f64..1.0,
     ) {
-        if admit(left, &way, caution) == Verdict::Admit {
-            prop_assert_eq!(admit(left + more, &way, caution), Verdict::Admit);
-            prop_assert_eq!(admit(left, &way, caution / 2.0), Verdict::Admit);
+        if admit(remaining, &path, caution) == Verdict::Admit {
+            prop_assert_eq!(admit(remaining + more, &path, caution), Verdict::Admit);
+            prop_assert_eq!(admit(remaining, &path, caution / 2.0), Verdict::Admit);
         }
     }
 }
--- a/crates/routing/tests/suite/cold.rs
+++ b/crates/routing/tests/suite/warm_up.rs
@@ -1,26 +1,27 @@
-//! Cold targets, against a count of what reaches them.
+//! Pacing of requests to targets that are warming up.
 
 use std::collections::VecDeque;
 
 use hollowsail_routing::cold::{
-    DESK_SHARE, PAST_DESK_SHARE, SETTLED_DESK_SHARE, WITHOUT_DESK_SHARE,
+    PAST_DESK_SHARE, SCHEDULER_SHARE, SETTLED_SCHEDULER_SHARE, WITHOUT_DESK_SHARE,
 };
 use hollowsail_routing::{Cold, ColdGate, Demand, DeskEngine, EngineDesk, Versions};
 use proptest::prelude::*;
 
 use crate::config;
 
-/// Times the rate that operators allow at a cold target, and requests besides.
+/// Most that operators allow during warm-up, as a multiple of the rate.
 const OVERSHOOT: f64 = 1.5;
+/// Requests allowed beyond that.
 const SLACK: f64 = 5.0;
 
-/// The most arrivals within any second.
+/// Most arrivals within any second.
 fn most_in_a_second(arrivals: &[u64]) -> usize {
     let mut window = VecDeque::new();
     let mut most = 0;
-    for &at in arrivals {
-        window.push_back(at);
-        while window.front().is_some_and(|first| at - first >= 1_000) {
+    for &time in arrivals {
+        window.push_back(time);
+        while window.front().is_some_and(|first| time - first >= 1_000) {
             window.pop_front();
         }
         most = most.max(window.len());
@@ -31,41 +32,41 @@
 proptest! {
     #![proptest_config(config(0xc0))]
 
-    /// Any number of entries press as hard as they can, two of them own the desk for a
-    /// while, and the target turns cold again at any moment.
+    /// Entries send as often as allowed, two schedulers overlap for a while, and the target
+    /// may start to warm up again at any time.
     #[test]
-    fn no_second_is_above_the_bound_whoever_owns_the_desk(
+    fn rate_stays_bounded_with_two_schedulers(
         per_s in 1.0f64..60.0,
         entries in 1usize..100,
         travel_ms in proptest::collection::vec(0u64..60, 40),
-        spells in proptest::collection::vec((0u64..3_000, 500u64..3_000), 1..4),
-        two_desks_until in 0u64..9_000,
+        warm_ups in proptest::collection::vec((0u64..3_000, 500u64..3_000), 1..4),
+        overlap_until in 0u64..9_000,
     ) {
-        let mut desks = [ColdGate::default(); 2];
-        let mut alone = vec![ColdGate::default(); entries];
-        let mut spells = spells.into_iter();
+        let mut schedulers = [ColdGate::default(); 2];
+        let mut entry_gates = vec![ColdGate::default(); entries];
+        let mut warm_ups = warm_ups.into_iter();
         let mut cold = Cold { until: 0, per_s };
-        let mut begins = 0;
+        let mut starts_at = 0;
         let mut arrivals = Vec::new();
         for now in 0..9_000u64 {
-            if now >= cold.until && now >= begins {
-                let Some((pause, lasts)) = spells.next() else { break };
-                begins = now + pause;
-                cold.until = begins + lasts;
+            if now >= cold.until && now >= starts_at {
+                let Some((pause, duration)) = warm_ups.next() else { break };
+                starts_at = now + pause;
+                cold.until = starts_at + duration;
             }
-            if now < begins || now >= cold.until {
+            if now < starts_at || now >= cold.until {
                 continue;
             }
-            let owners = if now < two_desks_until { 2 } else { 1 };
-            // The owner of before has been one for long, the next is new.
-            let shares = [SETTLED_DESK_SHARE, DESK_SHARE];
-            let owners = desks[..owners].iter_mut().zip(shares);
+            let owners = if now < overlap_until { 2 } else { 1 };
+            // The previous owner is settled, the next one is recent.
+            let shares = [SETTLED_SCHEDULER_SHARE, SCHEDULER_SHARE];
+            let owners = schedulers[..owners].iter_mut().zip(shares);
             let owners = owners.map(|(gate, share)| (gate, share, 0.0));
-            let past_desk = alone.iter_mut().enumerate().map(|(at, gate)| {
-                let phase = at as f64 / entries as f64;
+            let bypassing = entry_gates.iter_mut().enumerate().map(|(index, gate)| {
+                let phase = index as f64 / entries as f64;
                 (gate, PAST_DESK_SHARE / entries as f64, phase)
             });
-            for (gate, share, phase) in owners.chain(past_desk) {
+            for (gate, share, phase) in owners.chain(bypassing) {
                 gate.meet(now, Some(cold), share, phase);
                 if gate.is_open(now) {
                     gate.sent(now, share);
@@ -75,7 +76,7 @@
         }
         arrivals.sort_unstable();
         let most = most_in_a_second(&arrivals) as f64;
-        prop_assert!(most <= per_s * OVERSHOOT + SLACK, "{most} at {per_s} a second");
+        prop_assert!(most <= per_s * OVERSHOOT + SLACK, "{most} requests in a second at a rate of {per_s}");
     }
 }
 
@@ -84,16 +85,16 @@
 }
 
 #[test]
-fn a_warm_target_gets_any_number() {
+fn warm_target_is_not_paced() {
     let mut gate = ColdGate::default();
     for _ in 0..100 {
         assert!(gate.is_open(0));
-        gate.sent(0, DESK_SHARE);
+        gate.sent(0, SCHEDULER_SHARE);
     }
 }
 
 #[test]
-fn sends_to_a_cold_target_are_spaced_until_it_is_warm() {
+fn requests_are_spaced_during_warm_up() {
     let mut gate = ColdGate::default();
     gate.meet(0, cold(3_000), WITHOUT_DESK_SHARE, 0.0);
     assert!(gate.is_open(0));
@@ -102,14 +103,14 @@
     assert_eq!(gate.opens(0), 125);
     assert!(gate.is_open(125));
     gate.sent(2_990, WITHOUT_DESK_SHARE);
-    assert_eq!(gate.opens(2_991), 3_000, "it is warm then");
+    assert_eq!(gate.opens(2_991), 3_000, "the warm-up ends then");
     gate.meet(2_991, None, WITHOUT_DESK_SHARE, 0.0);
     assert!(gate.is_open(2_991));
 }
 
 #[test]
-fn a_desk_spreads_what_comes_over_engines_that_return_together() {
-    let mut desk = EngineDesk::default();
+fn scheduler_paces_engines_that_warm_up() {
+    let mut scheduler = EngineDesk::default();
     let engine = |key: &'static str, cold| DeskEngine {
         key,
         slots: 64,
@@ -123,12 +124,12 @@
         engine("cold-1", cold(3_000)),
         engine("cold-2", cold(3_000)),
     ];
-    desk.set_engines(0, &engines);
-    let mut given: Vec<&str> = Vec::new();
-    for n in 0..300u64 {
+    scheduler.set_engines(0, &engines);
+    let mut placed_on: Vec<&str> = Vec::new();
+    for number in 0..300u64 {
         let demand = Demand {
             from_hall: "hall-a".to_string(),
-            part: format!("part-{n}"),
+            part: format!("part-{number}"),
             shared_tokens: 0,
             prompt_tokens: 4_000,
             avoid: Vec::new(),
@@ -139,18 +140,22 @@
             urgency: 0,
             waits_ms: 0,
         };
-        let placed = desk.place(n * 10, &demand, |_| 0);
-        given.push(placed.expect("one is warm").1);
+        let placement = scheduler.place(number * 10, &demand, |_| 0);
+        placed_on.push(placement.expect("one engine is warm").1);
     }
-    let count = |key: &str| given.iter().filter(|engine| **engine == key).count();
+    let count = |key: &str| placed_on.iter().filter(|engine| **engine == key).count();
     for cold in ["cold-1", "cold-2"] {
-        assert!((10..=18).contains(&count(cold)), "{}", count(cold));
+        assert!(
+            (10..=18).contains(&count(cold)),
+            "{} placements",
+            count(cold)
+        );
     }
 }
 
 #[test]
-fn a_desk_of_engines_that_all_have_had_their_share_names_none() {
-    let mut desk = EngineDesk::default();
+fn closed_engines_get_no_placement() {
+    let mut scheduler = EngineDesk::default();
     let engine = DeskEngine {
         key: "cold",
         slots: 64,
@@ -159,7 +164,7 @@
         cold: cold(3_000),
         limit: None,
     };
-    desk.set_engines(0, &[engine]);
+    scheduler.set_engines(0, &[engine]);
     let demand = Demand {
         from_hall: "hall-a".to_string(),
         part: "p".to_string(),
@@ -173,7 +178,7 @@
         urgency: 0,
         waits_ms: 0,
     };
-    assert!(desk.place(0, &demand, |_| 0).is_some());
-    assert!(desk.place(50, &demand, |_| 0).is_none());
-    assert!(desk.place(170, &demand, |_| 0).is_some());
+    assert!(scheduler.place(0, &demand, |_| 0).is_some());
+    assert!(scheduler.place(50, &demand, |_| 0).is_none());
+    assert!(scheduler.place(170, &demand, |_| 0).is_some());
 }
