--- a/crates/routing/src/crash_ledger.rs
+++ b/crates/routing/src/crash_ledger.rs
@@ -118,8 +118,8 @@
 
     /// Applies a verdict of another entry or the store. Returns true when it changes the
     /// record.
-    pub fn told(&mut self, now: Millis, request: RequestDigest, standing: Standing) -> bool {
-        let (crashes, refused_until) = match standing {
+    pub fn told(&mut self, now: Millis, request: RequestDigest, verdict: Standing) -> bool {
+        let (crashes, refused_until) = match verdict {
             Standing::Unsuspected => return self.entries.remove(&request).is_some(),
             Standing::Suspect => (CRASHES_TO_SET_APART, 0),
             Standing::Refused { until } => (CRASHES_TO_REFUSE, until),
--- a/crates/routing/tests/suite/crash_ledger.rs
+++ b/crates/routing/tests/suite/crash_ledger.rs
@@ -15,7 +15,7 @@
 }
 
 /// Records a crash at `now` under a request sent at `sent`.
-fn crashed(
+fn record_crash(
     ledger: &mut CrashLedger,
     now: Millis,
     request: RequestDigest,
@@ -35,11 +35,11 @@
 #[test]
 fn second_crash_suspects_and_third_refuses() {
     let mut ledger = CrashLedger::default();
-    assert_eq!(crashed(&mut ledger, 1_000, digest(1), 500), Some(1));
+    assert_eq!(record_crash(&mut ledger, 1_000, digest(1), 500), Some(1));
     assert_eq!(ledger.standing(1_000, digest(1)), Standing::Unsuspected);
-    assert_eq!(crashed(&mut ledger, 2_000, digest(1), 1_500), Some(2));
+    assert_eq!(record_crash(&mut ledger, 2_000, digest(1), 1_500), Some(2));
     assert_eq!(ledger.standing(2_000, digest(1)), Standing::Suspect);
-    assert_eq!(crashed(&mut ledger, 3_000, digest(1), 2_500), Some(3));
+    assert_eq!(record_crash(&mut ledger, 3_000, digest(1), 2_500), Some(3));
     let until = 3_000 + FIRST_REFUSAL_MS;
     assert_eq!(
         ledger.standing(3_000, digest(1)),
@@ -51,12 +51,12 @@
 #[test]
 fn simultaneous_crashes_count_once() {
     let mut ledger = CrashLedger::default();
-    assert_eq!(crashed(&mut ledger, 1_000, digest(1), 700), Some(1));
+    assert_eq!(record_crash(&mut ledger, 1_000, digest(1), 700), Some(1));
     for later in 1_001..1_010 {
-        assert_eq!(crashed(&mut ledger, later, digest(1), 850), None);
+        assert_eq!(record_crash(&mut ledger, later, digest(1), 850), None);
     }
     assert_eq!(
-        crashed(&mut ledger, 1_020, digest(1), 1_001),
+        record_crash(&mut ledger, 1_020, digest(1), 1_001),
         Some(2),
         "sent after the first crash"
     );
@@ -82,28 +82,28 @@
 #[test]
 fn complete_answer_clears_a_suspect() {
     let mut ledger = CrashLedger::default();
-    crashed(&mut ledger, 1_000, digest(1), 0);
+    record_crash(&mut ledger, 1_000, digest(1), 0);
     assert!(
         !ledger.served(digest(1)),
         "no suspect yet, so no entry to notify"
     );
-    crashed(&mut ledger, 2_000, digest(1), 1_500);
-    crashed(&mut ledger, 3_000, digest(1), 2_500);
+    record_crash(&mut ledger, 2_000, digest(1), 1_500);
+    record_crash(&mut ledger, 3_000, digest(1), 2_500);
     assert!(ledger.served(digest(1)), "the entries were notified");
-    assert_eq!(crashed(&mut ledger, 4_000, digest(1), 3_500), Some(1));
+    assert_eq!(record_crash(&mut ledger, 4_000, digest(1), 3_500), Some(1));
 }
 
 #[test]
 fn refusal_doubles_with_each_further_crash() {
     let mut ledger = CrashLedger::default();
-    crashed(&mut ledger, 1_000, digest(1), 0);
-    crashed(&mut ledger, 2_000, digest(1), 1_500);
+    record_crash(&mut ledger, 1_000, digest(1), 0);
+    record_crash(&mut ledger, 2_000, digest(1), 1_500);
     let mut now = 3_000;
     for minutes in [1, 2, 4, 8, 10, 10] {
-        crashed(&mut ledger, now, digest(1), now - 1);
+        record_crash(&mut ledger, now, digest(1), now - 1);
         let until = now + minutes * FIRST_REFUSAL_MS;
-        let standing = ledger.standing(now, digest(1));
-        assert_eq!(standing, Standing::Refused { until });
+        let verdict = ledger.standing(now, digest(1));
+        assert_eq!(verdict, Standing::Refused { until });
         assert_eq!(ledger.standing(until, digest(1)), Standing::Suspect);
         now = until + 500;
     }
@@ -125,30 +125,33 @@
     assert!(ledger.told(0, digest(1), Standing::Refused { until: 60_000 }));
     assert!(!ledger.told(5, digest(1), Standing::Refused { until: 60_005 }));
     assert!(!ledger.told(5, digest(1), Standing::Suspect));
-    let standing = ledger.standing(5, digest(1));
-    assert_eq!(standing, Standing::Refused { until: 60_000 });
+    let verdict = ledger.standing(5, digest(1));
+    assert_eq!(verdict, Standing::Refused { until: 60_000 });
 }
 
 #[test]
 fn oldest_records_are_evicted_when_full() {
     let mut ledger = CrashLedger::default();
     for number in 0..20_000u32 {
-        crashed(&mut ledger, u64::from(number) + 1, digest(number), 0);
+        record_crash(&mut ledger, u64::from(number) + 1, digest(number), 0);
     }
     assert!(ledger.len() <= 5_000);
     assert_eq!(
-        crashed(&mut ledger, 30_000, digest(19_999), 29_999),
+        record_crash(&mut ledger, 30_000, digest(19_999), 29_999),
         Some(2)
     );
-    assert_eq!(crashed(&mut ledger, 30_001, digest(1), 30_000), Some(1));
+    assert_eq!(
+        record_crash(&mut ledger, 30_001, digest(1), 30_000),
+        Some(1)
+    );
 }
 
 #[test]
 fn single_crash_expires_after_an_hour() {
     let mut ledger = CrashLedger::default();
-    crashed(&mut ledger, 1_000, digest(1), 0);
+    record_crash(&mut ledger, 1_000, digest(1), 0);
     assert_eq!(
-        crashed(&mut ledger, 3_700_000, digest(1), 3_600_000),
+        record_crash(&mut ledger, 3_700_000, digest(1), 3_600_000),
         Some(1)
     );
 }
@@ -275,11 +278,11 @@
     }
 
     fn send(&mut self, now: Millis, request: u32, attempts: u32) {
-        let standing = match self.load.has_ledger {
+        let verdict = match self.load.has_ledger {
             true => self.ledger.standing(now, digest(request)),
             false => Standing::Unsuspected,
         };
-        if let Standing::Refused { .. } = standing {
+        if let Standing::Refused { .. } = verdict {
             self.outcome.refused_innocent += u32::from(!self.is_fatal(request));
             return;
         }
@@ -292,7 +295,7 @@
             versions: Versions::All,
             halls: None,
             results: Vec::new(),
-            is_suspect: standing == Standing::Suspect,
+            is_suspect: verdict == Standing::Suspect,
             urgency: 0,
             waits_ms: 0,
         };
@@ -420,8 +423,8 @@
         was_suspect: true,
     };
     assert_eq!(ledger.crashed(1_000, digest(1), run), Some(3));
-    let standing = ledger.standing(1_000, digest(1));
-    assert!(matches!(standing, Standing::Refused { .. }), "{standing:?}");
+    let verdict = ledger.standing(1_000, digest(1));
+    assert!(matches!(verdict, Standing::Refused { .. }), "{verdict:?}");
     assert_eq!(
         ledger.crashed(1_010, digest(1), run),
         None,
@@ -433,8 +436,8 @@
 #[test]
 fn two_reports_of_one_crash_count_once() {
     let mut ledger = CrashLedger::default();
-    crashed(&mut ledger, 1_000, digest(1), 500);
-    assert_eq!(crashed(&mut ledger, 2_000, digest(1), 1_500), Some(2));
+    record_crash(&mut ledger, 1_000, digest(1), 500);
+    assert_eq!(record_crash(&mut ledger, 2_000, digest(1), 1_500), Some(2));
     let late = CrashedRun {
         sent: 1_450,
         ended: 2_000,
--- a/crates/routing/tests/suite/random_admission.rs
+++ b/crates/routing/tests/suite/random_admission.rs
@@ -54,10 +54,17 @@
 proptest! {
     #[test]
     fn critical_path_matches_exhaustive_search(random_stages in stages()) {
-        let lists: Vec<Vec<usize>> = (0..random_stages.len()).map(|stage| predecessors(stage, random_stages[stage].0)).collect();
-        let stages = lists.iter().zip(&random_stages).map(|(list, (_, demand))| (list.as_slice(), *demand));
+        let lists: Vec<Vec<usize>> = (0..random_stages.len())
+            .map(|stage| predecessors(stage, random_stages[stage].0))
+            .collect();
+        let stages = lists
+            .iter()
+            .zip(&random_stages)
+            .map(|(list, (_, demand))| (list.as_slice(), *demand));
         let path = longest_way(stages);
-        let best = (0..random_stages.len()).map(|stage| longest_to(&random_stages, stage)).fold(0.0, f64::max);
+        let best = (0..random_stages.len())
+            .map(|stage| longest_to(&random_stages, stage))
+            .fold(0.0, f64::max);
         let found: f64 = path.iter().map(exact_ms).sum();
         prop_assert!((found - best).abs() < 1e-6, "{} ms, expected {} ms", found, best);
     }
--- a/crates/routing/tests/suite/warm_up.rs
+++ b/crates/routing/tests/suite/warm_up.rs
@@ -45,16 +45,16 @@
         let mut schedulers = [ColdGate::default(); 2];
         let mut entry_gates = vec![ColdGate::default(); entries];
         let mut warm_ups = warm_ups.into_iter();
-        let mut cold = Cold { until: 0, per_s };
+        let mut warm_up = Cold { until: 0, per_s };
         let mut starts_at = 0;
         let mut arrivals = Vec::new();
         for now in 0..9_000u64 {
-            if now >= cold.until && now >= starts_at {
+            if now >= warm_up.until && now >= starts_at {
                 let Some((pause, duration)) = warm_ups.next() else { break };
                 starts_at = now + pause;
-                cold.until = starts_at + duration;
+                warm_up.until = starts_at + duration;
             }
-            if now < starts_at || now >= cold.until {
+            if now < starts_at || now >= warm_up.until {
                 continue;
             }
             let owners = if now < overlap_until { 2 } else { 1 };
@@ -67,7 +67,7 @@
                 (gate, PAST_DESK_SHARE / entries as f64, phase)
             });
             for (gate, share, phase) in owners.chain(bypassing) {
-                gate.meet(now, Some(cold), share, phase);
+                gate.meet(now, Some(warm_up), share, phase);
                 if gate.is_open(now) {
                     gate.sent(now, share);
                     arrivals.push(now + travel_ms[arrivals.len() % travel_ms.len()]);
@@ -76,11 +76,14 @@
         }
         arrivals.sort_unstable();
         let most = most_in_a_second(&arrivals) as f64;
-        prop_assert!(most <= per_s * OVERSHOOT + SLACK, "{most} requests in a second at a rate of {per_s}");
+        prop_assert!(
+            most <= per_s * OVERSHOOT + SLACK,
+            "{most} requests in a second at a rate of {per_s}"
+        );
     }
 }
 
-fn cold(until: u64) -> Option<Cold> {
+fn warm_up(until: u64) -> Option<Cold> {
     Some(Cold { until, per_s: 10.0 })
 }
 
@@ -96,7 +99,7 @@
 #[test]
 fn requests_are_spaced_during_warm_up() {
     let mut gate = ColdGate::default();
-    gate.meet(0, cold(3_000), WITHOUT_DESK_SHARE, 0.0);
+    gate.meet(0, warm_up(3_000), WITHOUT_DESK_SHARE, 0.0);
     assert!(gate.is_open(0));
     gate.sent(0, WITHOUT_DESK_SHARE);
     assert!(!gate.is_open(124));
@@ -121,8 +124,8 @@
     };
     let engines = [
         engine("warm", None),
-        engine("cold-1", cold(3_000)),
-        engine("cold-2", cold(3_000)),
+        engine("cold-1", warm_up(3_000)),
+        engine("cold-2", warm_up(3_000)),
     ];
     scheduler.set_engines(0, &engines);
     let mut placed_on: Vec<&str> = Vec::new();
@@ -144,12 +147,8 @@
         placed_on.push(placement.expect("one engine is warm").1);
     }
     let count = |key: &str| placed_on.iter().filter(|engine| **engine == key).count();
-    for cold in ["cold-1", "cold-2"] {
-        assert!(
-            (10..=18).contains(&count(cold)),
-            "{} placements",
-            count(cold)
-        );
+    for key in ["cold-1", "cold-2"] {
+        assert!((10..=18).contains(&count(key)), "{} placements", count(key));
     }
 }
 
@@ -161,7 +160,7 @@
         slots: 64,
         hall: "hall-a".to_string(),
         version: String::new(),
-        cold: cold(3_000),
+        cold: warm_up(3_000),
         limit: None,
     };
     scheduler.set_engines(0, &[engine]);
