--- a/crates/ledger/src/ticket.rs
+++ b/crates/ledger/src/ticket.rs
@@ -34,7 +34,7 @@
 pub enum TicketError {
     #[snafu(display("the ticket is not valid base64url; send it unchanged"))]
     Encoding { source: base64::DecodeError },
-    #[snafu(display("the ticket is shorter than its {MAC_BYTES}-byte MAC; send it unchanged"))]
+    #[snafu(display("the ticket is too short for its {MAC_BYTES}-byte MAC; send it unchanged"))]
     Short,
     #[snafu(display("the ticket was not issued by this fleet; request a new one"))]
     Forged,
