--- a/crates/gateway/src/control/configuration.rs
+++ b/crates/gateway/src/control/configuration.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration, as the store or a peer tells it.
+//! The operators' configuration, as received from the store or a peer.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 
 use super::Control;
 
-/// A configuration, and the same as it lies in the store.
+/// A decoded configuration and its encoded form from the store.
 #[derive(Debug, Clone)]
 pub struct Configuration {
     pub deployment: Arc<Deployment>,
@@ -15,8 +15,9 @@
 }
 
 impl Control {
-    /// Puts a configuration in force unless one as new already is, whoever brought it.
-    pub(super) fn take_source(&self, source: &[u8], from: &str) {
+    /// Applies a configuration if it is newer than the one in force. A malformed one is
+    /// logged and ignored.
+    pub(super) fn apply_configuration(&self, source: &[u8], from: &str) {
         let deployment = match Deployment::decode(source) {
             Ok(deployment) => deployment,
             Err(err) => {
@@ -26,7 +27,7 @@
             }
         };
         let deployment = Arc::new(deployment);
-        let offered = Configuration {
+        let candidate = Configuration {
             deployment: deployment.clone(),
             source: source.into(),
         };
@@ -34,7 +35,7 @@
         let is_newer = self
             .configuration
             .borrow_mut()
-            .offer(deployment.version, offered);
+            .offer(deployment.version, candidate);
         if !is_newer {
             return;
         }
@@ -50,7 +51,7 @@
         self.publish();
     }
 
-    /// Version in force here, once there is one.
+    /// Version in force; `None` before the first configuration.
     pub(super) fn configuration_version(&self) -> Option<u64> {
         self.configuration.borrow().version()
     }
--- /dev/null
+++ b/crates/gateway/src/control/derived.rs
@@ -0,0 +1,93 @@
+//! Parts of a view that are derived from the registries and cached until these change.
+//!
+//! A view is published for every change. Without the cache, each change of one target would
+//! cost time in proportion to the number of entries, and the other way around.
+
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+use hollowsail_fleet::{EmptiedHalls, Position};
+use hollowsail_platform::targets::TargetRecord;
+
+use super::Control;
+use crate::peers::PeerRecord;
+use crate::view::{KnownRecords, Targets};
+
+/// A value, and the registry's change count that it is valid for.
+type AsOf<T> = RefCell<Option<(u64, T)>>;
+
+/// All records with their positions.
+type Records = Arc<[(Position, Arc<TargetRecord>)]>;
+
+/// The last derived values.
+#[derive(Default)]
+pub(super) struct Derived {
+    peers: AsOf<Arc<[PeerRecord]>>,
+    records: AsOf<Records>,
+    targets: AsOf<(EmptiedHalls, Arc<Targets>)>,
+}
+
+/// The cached value if it is valid for `changes`, else the result of `derive`.
+fn as_of<T: Clone>(known: &AsOf<T>, changes: u64, derive: impl FnOnce() -> T) -> T {
+    let mut known = known.borrow_mut();
+    match known.as_ref().filter(|(as_of, _)| *as_of == changes) {
+        Some((_, known)) => known.clone(),
+        None => {
+            let new = derive();
+            *known = Some((changes, new.clone()));
+            new
+        }
+    }
+}
+
+impl Control {
+    /// One record per host, that of its newest run. The record of a killed run stays until
+    /// its lease expires.
+    pub(super) fn peers_now(&self) -> Arc<[PeerRecord]> {
+        let registry = self.peers.borrow();
+        as_of(&self.derived.peers, registry.changes(), || {
+            let mut newest: BTreeMap<&str, (Position, &PeerRecord)> = BTreeMap::new();
+            for (at, peer) in registry.usable_at() {
+                let known = newest.entry(&peer.host).or_insert((at, peer));
+                if at > known.0 {
+                    *known = (at, peer);
+                }
+            }
+            newest.into_values().map(|(_, peer)| peer.clone()).collect()
+        })
+    }
+
+    /// Records that peers may adopt; `None` while the store is unreachable.
+    pub(super) fn records_for_peers(&self) -> Option<KnownRecords> {
+        let registry = self.registry.borrow();
+        if registry.is_store_away() {
+            return None;
+        }
+        let records = as_of(&self.derived.records, registry.changes(), || {
+            let records = registry.all().map(|(at, record)| (at, record.clone()));
+            records.collect()
+        });
+        let at = self.records_at.get();
+        Some(KnownRecords { at, records })
+    }
+
+    /// The targets for a view. While some of them depend on the time, they aren't cached.
+    pub(super) fn targets_now(&self, evacuated: &EmptiedHalls) -> Arc<Targets> {
+        let changes = self.registry.borrow().changes();
+        let depends_on_time = self.depends_on_time();
+        let mut known = self.derived.targets.borrow_mut();
+        if let Some((as_of, (halls, targets))) = known.as_ref() {
+            if *as_of == changes && halls == evacuated && !depends_on_time {
+                return targets.clone();
+            }
+        }
+        let targets = Arc::new(Targets {
+            usable: self.usable_targets(evacuated),
+            leaving: self.draining_targets(),
+            emptied_services: self.evacuated_services(evacuated),
+        });
+        *known = (!depends_on_time).then(|| (changes, (evacuated.clone(), targets.clone())));
+        targets
+    }
+}
--- a/crates/gateway/src/control/emptied.rs
+++ b/crates/gateway/src/control/evacuated_halls.rs
@@ -1,4 +1,4 @@
-//! The data halls that operators empty, as the store or a peer tells them.
+//! The data halls that operators have evacuated, as received from the store or a peer.
 
 use hollowsail_fleet::EmptiedHalls;
 use hollowsail_observe::events;
@@ -8,45 +8,45 @@
 use super::Control;
 
 impl Control {
-    /// Takes all emptied halls from the store.
-    pub(super) fn take_emptied_list(&self, range: &Range) {
+    /// Replaces the evacuated halls by the store's list.
+    pub(super) fn apply_evacuated_list(&self, range: &Range) {
         let items = range.items.iter();
         let listed = items.filter_map(|item| {
             let hall = emptied_hall(&item.key)?;
             Some((hall.to_string(), item.at))
         });
         let listed = listed.collect();
-        self.change_emptied("store", |halls| halls.take_list(range.at, listed));
+        self.update_evacuated("store", |halls| halls.take_list(range.at, listed));
     }
 
-    /// Takes halls that were emptied or taken back since.
-    pub(super) fn take_emptied_changes(&self, changes: &Changes) {
-        self.change_emptied("store", |halls| {
+    /// Applies evacuations and reinstatements reported by a watch.
+    pub(super) fn apply_evacuated_changes(&self, changes: &Changes) {
+        self.update_evacuated("store", |halls| {
             let mut changed = false;
             for change in &changes.changes {
-                changed |= take_change(halls, change);
+                changed |= apply_change(halls, change);
             }
             halls.told_until(changes.at);
             changed
         });
     }
 
-    /// Takes a peer's account where it is newer.
-    pub(super) fn adopt_emptied(&self, told: EmptiedHalls) {
-        self.change_emptied("peer", |halls| halls.adopt(told));
+    /// Adopts a peer's list if it is newer.
+    pub(super) fn adopt_evacuated(&self, reported: EmptiedHalls) {
+        self.update_evacuated("peer", |halls| halls.adopt(reported));
     }
 
-    /// Makes a change, and puts it in force when it is news.
-    pub(super) fn change_emptied(
+    /// Applies `change`; logs and publishes the result if the halls changed.
+    pub(super) fn update_evacuated(
         &self,
         from: &str,
         change: impl FnOnce(&mut EmptiedHalls) -> bool,
     ) {
-        let changed = change(&mut self.emptied.borrow_mut());
+        let changed = change(&mut self.evacuated.borrow_mut());
         if !changed {
             return;
         }
-        let halls = self.emptied.borrow();
+        let halls = self.evacuated.borrow();
         let names: Vec<&str> = halls.names().collect();
         let fields = format_args!(
             "halls={} as_of={} from={from}",
@@ -59,8 +59,8 @@
     }
 }
 
-/// Takes one change. True when the emptied halls changed.
-fn take_change(halls: &mut EmptiedHalls, change: &Change) -> bool {
+/// Applies one change. Returns true if the evacuated halls changed.
+fn apply_change(halls: &mut EmptiedHalls, change: &Change) -> bool {
     match change {
         Change::Put(item) => {
             emptied_hall(&item.key).is_some_and(|hall| halls.emptied(hall, item.at))
--- a/crates/gateway/src/control/follow.rs
+++ b/crates/gateway/src/control/follow.rs
@@ -1,11 +1,10 @@
-//! Follows keys in the store: reads them once, then waits for their changes, there or at
-//! a reader of this entry's hall ([`super::source`]).
+//! Follows keys of the store: reads their list once, then waits for changes from the store
+//! or from a store follower of this hall ([`super::source`]).
 //!
-//! At the start lists are read as they were some seconds ago, which costs a tenth; the
-//! watch goes on from there and tells at once what changed since. It reads again, and
-//! the newest, when the store loses its history or stops answering: by an old list, what
-//! had gone would be back until the watch told of it. While a watch waits, other calls
-//! show whether the store is there at all ([`Control::until_store_lost`]).
+//! The first read at startup may be stale, which costs less; the watch continues from its
+//! position and delivers what changed since. Every later read is fresh, since a stale list
+//! would bring deleted records back until the watch catches up. While a watch waits, other
+//! calls show whether the store is reachable ([`Control::until_store_lost`]).
 
 use std::future::Future;
 use std::rc::Rc;
@@ -15,136 +14,143 @@
 use hollowsail_platform::store::{Changes, Item, Range, StoreError};
 
 use super::backoff::Backoff;
-use super::source::{Heard, Teller};
+use super::source::{Origin, Received};
 use super::Control;
 use crate::feed::Keys;
 
-/// Longest pause after changes that a reader told of: asking it has no price, and it
-/// paused itself.
-const PAUSE_AFTER_READER: Duration = Duration::from_millis(50);
+/// Longest pause after changes from a store follower, which costs the store nothing and
+/// pauses on its own.
+const PAUSE_AFTER_FOLLOWER: Duration = Duration::from_millis(50);
 
-/// Changes in one answer of the store from which on the next ones are asked for at once.
-const MANY_CHANGES: usize = 100;
-/// Pause after all was taken from an entry of this hall, which may be hearing of more itself.
-const PAUSE_AFTER_HALL: Duration = Duration::from_millis(300);
+/// Number of changes in one response of the store above which the next watch starts without
+/// a pause.
+const LARGE_BATCH_CHANGES: usize = 100;
+/// Pause after a list was read from an entry of this hall, which may still be receiving
+/// changes.
+const PAUSE_AFTER_HALL_LIST: Duration = Duration::from_millis(300);
 
-/// Keys that are followed, and who takes them.
-pub struct Followed {
+/// Keys to follow, and the functions that apply their contents.
+pub struct Subscription {
     pub keys: Keys,
     pub prefix: &'static str,
-    /// The first read may be seconds old: nothing is known yet that could go back.
-    pub may_begin_old: bool,
-    /// This loop asks a store that is away whether it is back; the others wait
-    /// for that word.
+    /// Allows a stale first read: at startup there is no newer state to overwrite.
+    pub allow_stale_start: bool,
+    /// This loop probes an unreachable store; the other loops wait until it is reachable.
     pub probes: bool,
-    /// Takes a part of what is there, as soon as it is read.
-    pub take_page: fn(&Rc<Control>, &[Item]),
-    /// Takes what is there, once all is read.
-    pub take_all: fn(&Rc<Control>, &Range),
-    /// Takes what changed since; tells how long to pause before the next watch,
-    /// so that changes that come one after the other are told in a few answers.
-    pub take_changes: fn(&Rc<Control>, &Changes, Teller) -> Duration,
+    /// Applies one page of the list as soon as it is read.
+    pub on_page: fn(&Rc<Control>, &[Item]),
+    /// Applies the whole list.
+    pub on_list: fn(&Rc<Control>, &Range),
+    /// Applies changes. Returns the pause before the next watch, which lets successive
+    /// changes share a response.
+    pub on_changes: fn(&Rc<Control>, &Changes, Origin) -> Duration,
 }
 
-/// Follows until the thread ends.
-pub async fn follow(cx: Rc<Control>, keys: Followed) {
+/// Follows the keys until the thread ends.
+pub async fn follow(cx: Rc<Control>, keys: Subscription) {
     let mut backoff = Backoff::default();
-    let mut may_be_old = keys.may_begin_old;
+    let mut allow_stale = keys.allow_stale_start;
     loop {
-        let end = follow_once(&cx, &keys, may_be_old, &mut backoff).await;
-        may_be_old = false;
+        let end = follow_once(&cx, &keys, allow_stale, &mut backoff).await;
+        allow_stale = false;
         match end {
             Ok(()) => {}
-            Err(StoreError::HistoryGone) => cx.spread_new_era(keys.keys).await,
+            Err(StoreError::HistoryGone) => cx.delay_in_new_epoch(keys.keys).await,
             Err(err) => {
                 cx.store_failed(&err);
                 backoff.pause().await;
                 if !keys.probes {
-                    cx.until_store_back().await;
+                    cx.until_store_reachable().await;
                 }
             }
         }
     }
 }
 
-/// Reads the keys, then takes their changes until the store fails.
+/// Reads the list, then applies changes until the store fails.
 async fn follow_once(
     cx: &Rc<Control>,
-    keys: &Followed,
-    may_be_old: bool,
+    keys: &Subscription,
+    allow_stale: bool,
     backoff: &mut Backoff,
 ) -> Result<(), StoreError> {
-    let mut at = match read_all(cx, keys, may_be_old).await? {
-        Read::FromStore(range) => {
-            if !may_be_old {
-                // An old answer doesn't show that the store is there.
+    let mut position = match read_all(cx, keys, allow_stale).await? {
+        ListSource::Store(range) => {
+            if !allow_stale {
+                // A stale response doesn't show that the store is reachable.
                 cx.store_answered();
             }
-            cx.take_whole(keys, &range)
+            cx.apply_list(keys, &range)
         }
-        Read::FromReader(at) => {
+        ListSource::HallPeer(at) => {
             cx.feeds.begin(keys.keys, at);
-            tokio::time::sleep(PAUSE_AFTER_HALL).await;
+            tokio::time::sleep(PAUSE_AFTER_HALL_LIST).await;
             at
         }
     };
     backoff.reset();
     loop {
-        match cx.next_changes(keys.keys, keys.prefix, at).await? {
-            (Heard::Changes(changes), teller) => {
-                at = changes.at;
+        match cx.next_changes(keys.keys, keys.prefix, position).await? {
+            (Received::Changes(changes), origin) => {
+                position = changes.at;
                 cx.feeds.extend(keys.keys, &changes);
-                let pause = (keys.take_changes)(cx, &changes, teller);
-                let pause = match teller {
-                    // It may be a part of what there is: the store tells some hundreds at a time.
-                    Teller::Store if changes.changes.len() >= MANY_CHANGES => Duration::ZERO,
-                    Teller::Store => pause,
-                    Teller::Reader { .. } => pause.min(PAUSE_AFTER_READER),
+                let pause = (keys.on_changes)(cx, &changes, origin);
+                let pause = match origin {
+                    // The store sends some hundreds of changes at a time, so more may be
+                    // pending.
+                    Origin::Store if changes.changes.len() >= LARGE_BATCH_CHANGES => Duration::ZERO,
+                    Origin::Store => pause,
+                    Origin::Follower { .. } => pause.min(PAUSE_AFTER_FOLLOWER),
                 };
                 tokio::time::sleep(pause).await;
             }
-            (Heard::Whole(range), teller) => {
-                cx.hear_of_outage(teller);
-                at = cx.take_whole(keys, &range);
+            (Received::List(range), origin) => {
+                cx.note_follower_outage(origin);
+                position = cx.apply_list(keys, &range);
             }
         }
     }
 }
 
-/// Where all that is there came from.
-enum Read {
-    FromStore(Range),
-    /// It was taken as of this position.
-    FromReader(Position),
+/// Where a complete list was read.
+enum ListSource {
+    Store(Range),
+    /// Position of the list, which is applied already.
+    HallPeer(Position),
 }
 
-/// Reads all that is there: the rest of a long list from an entry of this hall that has it.
-/// Read at the store by every entry, it would take entries times targets on one link.
-async fn read_all(cx: &Rc<Control>, keys: &Followed, may_be_old: bool) -> Result<Read, StoreError> {
-    let may_ask = keys.keys == Keys::Targets;
-    let mut has_asked = false;
-    let mut reading = cx.store.read(keys.prefix, may_be_old);
+/// Reads the complete list. The rest of a long list of targets is read from an entry of
+/// this hall that has it; read by every entry, it would load the store in proportion to
+/// entries times targets.
+async fn read_all(
+    cx: &Rc<Control>,
+    keys: &Subscription,
+    allow_stale: bool,
+) -> Result<ListSource, StoreError> {
+    let may_query = keys.keys == Keys::Targets;
+    let mut has_queried = false;
+    let mut reading = cx.store.read(keys.prefix, allow_stale);
     loop {
-        if may_ask && !has_asked && cx.may_ask_hall() {
-            has_asked = true;
+        if may_query && !has_queried && cx.may_query_hall() {
+            has_queried = true;
             if let Some(at) = cx.records_from_hall().await {
-                return Ok(Read::FromReader(at));
+                return Ok(ListSource::HallPeer(at));
             }
         }
         let items = reading.next_page().await?;
-        cx.note_era();
-        (keys.take_page)(cx, items);
+        cx.note_epoch();
+        (keys.on_page)(cx, items);
         if reading.is_whole() {
-            return Ok(Read::FromStore(reading.into_range()));
+            return Ok(ListSource::Store(reading.into_range()));
         }
         cx.is_list_long.set(true);
     }
 }
 
 impl Control {
-    /// Takes all that is there, as the store or a reader lists it. Gives its position.
-    fn take_whole(self: &Rc<Self>, keys: &Followed, range: &Range) -> Position {
-        (keys.take_all)(self, range);
+    /// Applies a complete list from the store or a store follower. Returns its position.
+    fn apply_list(self: &Rc<Self>, keys: &Subscription, range: &Range) -> Position {
+        (keys.on_list)(self, range);
         match keys.keys {
             Keys::Targets => self.feeds.begin(keys.keys, range.at),
             Keys::Operators | Keys::Entries => self.feeds.begin_with(keys.keys, range),
@@ -152,14 +158,14 @@
         range.at
     }
 
-    /// Waits until the store answers again; at once when it does.
-    async fn until_store_back(&self) {
-        while self.book.borrow().is_store_away() {
-            self.store_back.notified().await;
+    /// Waits until the store is reachable.
+    async fn until_store_reachable(&self) {
+        while self.registry.borrow().is_store_away() {
+            self.store_regained.notified().await;
         }
     }
 
-    /// Waits for a watch, but no longer than the store answers other calls.
+    /// Waits for a watch, but only as long as the store answers other calls.
     pub(super) async fn until_store_lost<T>(
         &self,
         watch: impl Future<Output = Result<T, StoreError>>,
--- a/crates/gateway/src/control/hall_records.rs
+++ b/crates/gateway/src/control/hall_records.rs
@@ -1,9 +1,9 @@
-//! A long list of targets, from an entry of this hall that has it.
+//! Reads a long list of targets from an entry of this hall that has it.
 //!
-//! Only the hall's readers read such a list at the store. The larger hosts ask the readers
-//! for it, and all others any larger host, one after the other until one has it. An entry
-//! that finds none in time reads on at the store. Positions are the store's everywhere, so
-//! whoever has the list goes on from its position at any source.
+//! Only the hall's store followers read such a list from the store. The larger hosts query
+//! the followers, and all other hosts query the larger ones, until one has the list. An
+//! entry that finds none in time continues at the store. Positions are the store's
+//! everywhere, so an entry can continue from the list's position at any source.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,43 +13,43 @@
 use hollowsail_routing::Millis;
 use rand::seq::IndexedRandom;
 
-use super::ask;
+use super::query;
 use super::source::candidates;
 use super::Control;
 use crate::peers::{PeerRecord, RecordsAsk, RecordsAt, RECORDS_PATH};
 
-/// How long after its first list of entries an entry knows who reads, in milliseconds: in a
-/// fleet that starts together, the first list has those that were faster.
-const READERS_KNOWN_MS: Millis = 700;
-/// How long the list of targets is sought in the hall: some times as long as a reader takes
-/// for it.
-const FOUND_WITHIN: Duration = Duration::from_millis(6_000);
-/// Longest time for an answer: a megabyte on the link of a small host, and its processor.
-const ANSWER_WITHIN: Duration = Duration::from_millis(2_500);
-/// Between two questions while none has the list yet.
-const ASK_EVERY: Duration = Duration::from_millis(200);
+/// Time after the first list of entries from which the store followers count as known, in
+/// milliseconds. In a fleet that starts together, the first list holds only the entries
+/// that registered earlier.
+const FOLLOWERS_KNOWN_MS: Millis = 700;
+/// Time to search the hall for the list: several times what a follower takes to read it.
+const SEARCH_TIMEOUT: Duration = Duration::from_millis(6_000);
+/// Timeout of one query: the response may be a megabyte, on a small host's link.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Interval between queries while no peer has the list.
+const QUERY_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Control {
-    /// Takes all records from an entry of this hall; gives the position that they are as of.
-    /// `None` where this entry is to read them at the store.
+    /// Applies all records from an entry of this hall and returns their position. `None` if
+    /// this entry must read them from the store.
     pub(super) async fn records_from_hall(self: &Rc<Self>) -> Option<Position> {
         let search = async {
             loop {
-                let asked = self.list_holder()?;
-                let question = RecordsAsk {
+                let peer = self.choose_list_peer()?;
+                let request = RecordsAsk {
                     after: self.records_at.get(),
                 };
-                let pool = self.pool_of(asked.addr);
-                let answer = ask::ask(&pool, RECORDS_PATH, &question, ANSWER_WITHIN).await;
+                let pool = self.pool_of(peer.addr);
+                let answer = query::query(&pool, RECORDS_PATH, &request, ANSWER_TIMEOUT).await;
                 match answer {
-                    Ok(Some(told)) => return Some(self.take_hall_records(&asked, told)),
+                    Ok(Some(records)) => return Some(self.apply_hall_records(&peer, records)),
                     Ok(None) => {}
-                    Err(err) => log::debug!("{} gave no list of targets: {err}", asked.host),
+                    Err(err) => log::debug!("{} returned no list of targets: {err}", peer.host),
                 }
-                tokio::time::sleep(ASK_EVERY).await;
+                tokio::time::sleep(QUERY_INTERVAL).await;
             }
         };
-        let found = tokio::time::timeout(FOUND_WITHIN, search).await;
+        let found = tokio::time::timeout(SEARCH_TIMEOUT, search).await;
         found.unwrap_or_else(|_| {
             let fields = format_args!("from=store why=\"no entry of the hall had the list\"");
             self.log.line(events::TARGETS_LISTED, fields);
@@ -57,39 +57,39 @@
         })
     }
 
-    fn take_hall_records(self: &Rc<Self>, from: &PeerRecord, told: RecordsAt) -> Position {
-        let at = told.at;
+    fn apply_hall_records(self: &Rc<Self>, from: &PeerRecord, records: RecordsAt) -> Position {
+        let at = records.at;
         let fields = format_args!(
             "from={} targets={} at={at} before={}",
             from.host,
-            told.records.len(),
+            records.records.len(),
             self.records_at.get()
         );
         self.log.line(events::TARGETS_LISTED, fields);
-        self.adopt_records(told);
+        self.adopt_records(records);
         at
     }
 
-    /// True where the list is long, once the readers of this hall are known as well as they
-    /// will be.
-    pub(super) fn may_ask_hall(&self) -> bool {
-        let listed = self.entries_listed.get();
-        let are_known = listed.is_some_and(|at| self.clock.now() >= at + READERS_KNOWN_MS);
+    /// True if the list is long and the store followers of this hall are known.
+    pub(super) fn may_query_hall(&self) -> bool {
+        let listed = self.entries_listed_at.get();
+        let are_known = listed.is_some_and(|at| self.clock.now() >= at + FOLLOWERS_KNOWN_MS);
         are_known && self.is_list_long.get()
     }
 
-    /// An entry that may have the list; `None` where this one reads it at the store.
-    fn list_holder(&self) -> Option<PeerRecord> {
+    /// Chooses an entry that may have the list; `None` if this entry reads it from the
+    /// store.
+    fn choose_list_peer(&self) -> Option<PeerRecord> {
         let peers = self.peers_now();
         let hall = self.hall_of(&peers);
-        let readers = self.readers_of(&hall)?;
-        if readers.iter().any(|peer| peer.host == self.me.host) {
+        let followers = self.followers_of(&hall)?;
+        if followers.iter().any(|peer| peer.host == self.me.host) {
             return None;
         }
         let larger = ownership::owners(&self.me.hall, candidates(&hall), usize::MAX);
-        let larger: Vec<&PeerRecord> = larger.into_iter().map(|at| hall[at]).collect();
+        let larger: Vec<&PeerRecord> = larger.into_iter().map(|index| hall[index]).collect();
         let is_larger = larger.iter().any(|peer| peer.host == self.me.host);
-        let asked = if is_larger { &readers } else { &larger };
-        asked.choose(&mut rand::rng()).map(|peer| (*peer).clone())
+        let peer = if is_larger { &followers } else { &larger };
+        peer.choose(&mut rand::rng()).map(|peer| (*peer).clone())
     }
 }
--- a/crates/gateway/src/control/membership.rs
+++ b/crates/gateway/src/control/membership.rs
@@ -1,4 +1,4 @@
-//! The entries' records, as the store or a peer tells them.
+//! The entries' records, as received from the store or a peer.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,46 +7,46 @@
 use hollowsail_observe::events;
 use hollowsail_platform::store::{Change, Changes, Item, Range};
 
-use super::follow::Followed;
-use super::source::Teller;
+use super::follow::Subscription;
+use super::source::Origin;
 use super::Control;
 use crate::feed::Keys;
 use crate::peers::{PeerRecord, PREFIX};
 
-/// Longest pause between two watches for each live entry, so that calls grow no
-/// faster than the fleet. An entry that is lost is noticed sooner, when it owes an
-/// answer.
-const WATCH_PAUSE_EACH: Duration = Duration::from_millis(28);
-/// The same in a large fleet: within half of the time for which the store keeps its
-/// history (20 s at the least), so that a watch can go on after a pause.
-const MOST_WATCH_PAUSE: Duration = Duration::from_secs(8);
+/// Longest pause between two watches per live entry, so that the fleet's calls to the store
+/// don't grow with the square of its size.
+const WATCH_PAUSE_PER_ENTRY: Duration = Duration::from_millis(28);
+/// Upper bound of that pause: at most half of the store's history (20 s or more), so that a
+/// watch can continue after it.
+const MAX_WATCH_PAUSE: Duration = Duration::from_secs(8);
 
-/// What entries write: their own records, the requests that they refuse, and the verdicts
-/// on roll-outs.
-const WRITTEN: &str = "hollowsail/";
+/// Prefix of all keys that entries write: their records, the requests that they refuse, and
+/// the phases of roll-outs.
+const ENTRIES_PREFIX: &str = "hollowsail/";
 
-/// The keys that entries write.
-pub const FOLLOWED: Followed = Followed {
+/// Follows the keys that entries write.
+pub const SUBSCRIPTION: Subscription = Subscription {
     keys: Keys::Entries,
-    prefix: WRITTEN,
-    may_begin_old: true,
+    prefix: ENTRIES_PREFIX,
+    allow_stale_start: true,
     probes: false,
-    // Owners are decided on the whole list.
-    take_page: |_, _| {},
-    take_all: |cx, range| {
-        cx.take_peers(range);
+    // Owners depend on the whole list, so pages aren't applied on their own.
+    on_page: |_, _| {},
+    on_list: |cx, range| {
+        cx.apply_peer_list(range);
         cx.settle_peers_later();
     },
-    take_changes: |cx, changes, teller| {
-        cx.hear_of_outage(teller);
-        cx.take_peer_changes(changes, teller);
+    on_changes: |cx, changes, origin| {
+        cx.note_follower_outage(origin);
+        cx.apply_peer_changes(changes, origin);
         cx.settle_peers_later();
-        cx.watch_pause(&cx.peers, cx.longest_peers_pause())
+        cx.watch_pause(&cx.peers, cx.max_peers_pause())
     },
 };
 
-/// What a live entry's record says of itself; a key stands for one run.
-fn live_at(at: Position) -> Told {
+/// Metadata of a live entry's record. Each key belongs to one run, so there is no
+/// incarnation.
+fn live_metadata(at: Position) -> Told {
     Told {
         at,
         start: 0,
@@ -55,25 +55,25 @@
 }
 
 impl Control {
-    /// Longest pause between two looks for entries that came or went.
-    fn longest_peers_pause(&self) -> Duration {
+    /// Longest pause between two watches at the present fleet size.
+    fn max_peers_pause(&self) -> Duration {
         let entries = self.peers.borrow().len() as u32;
-        (WATCH_PAUSE_EACH * entries.max(1)).min(MOST_WATCH_PAUSE)
+        (WATCH_PAUSE_PER_ENTRY * entries.max(1)).min(MAX_WATCH_PAUSE)
     }
 
-    /// Takes all entries' records: those that the store doesn't list are gone.
-    fn take_peers(&self, range: &Range) {
+    /// Applies the complete list; entries missing from it are gone.
+    fn apply_peer_list(&self, range: &Range) {
         for item in &range.items {
-            self.take_peer(item);
+            self.apply_peer(item);
         }
-        self.take_refused_list(&range.items);
-        self.take_rollout_records(&range.items);
+        self.apply_refused_list(&range.items);
+        self.apply_rollout_records(&range.items);
         let present: Vec<&str> = range.items.iter().map(|item| item.key.as_str()).collect();
         let now = self.clock.now();
         let gone = self.peers.borrow_mut().reconcile(&present, range.at, now);
         self.log_peers_gone(&gone, "not_listed");
-        if self.entries_listed.get().is_none() {
-            self.entries_listed.set(Some(now));
+        if self.entries_listed_at.get().is_none() {
+            self.entries_listed_at.set(Some(now));
         }
         self.publish();
     }
@@ -85,19 +85,19 @@
         }
     }
 
-    fn take_peer_changes(&self, changes: &Changes, teller: Teller) {
+    fn apply_peer_changes(&self, changes: &Changes, origin: Origin) {
         let mut changed = false;
         for change in &changes.changes {
-            changed |= self.take_peer_change(change, teller);
-            changed |= self.take_refused_change(change, teller);
-            changed |= self.take_rollout_change(change);
+            changed |= self.apply_peer_change(change, origin);
+            changed |= self.apply_refused_change(change, origin);
+            changed |= self.apply_rollout_change(change);
         }
         if changed {
             self.publish();
         }
     }
 
-    fn take_peer(&self, item: &Item) -> bool {
+    fn apply_peer(&self, item: &Item) -> bool {
         if !item.key.starts_with(PREFIX) {
             return false;
         }
@@ -116,7 +116,7 @@
         let changed = self
             .peers
             .borrow_mut()
-            .put(&item.key, live_at(item.at), record);
+            .put(&item.key, live_metadata(item.at), record);
         if changed {
             self.log
                 .line(events::MEMBER, format_args!("{line} state=live"));
@@ -124,11 +124,11 @@
         changed
     }
 
-    fn take_peer_change(&self, change: &Change, teller: Teller) -> bool {
+    fn apply_peer_change(&self, change: &Change, origin: Origin) -> bool {
         match change {
-            Change::Put(item) => self.take_peer(item),
+            Change::Put(item) => self.apply_peer(item),
             Change::Deleted { key, at } => {
-                let is_unsettled = self.is_unsettled(&self.peers, teller);
+                let is_unsettled = self.is_unsettled(&self.peers, origin);
                 let gone = self.peers.borrow_mut().deleted(key, *at, is_unsettled);
                 if gone {
                     self.log_peers_gone(std::slice::from_ref(key), "record_deleted");
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Drops peers that are still missing once the store's return is settled.
+    /// Removes peers that are still missing once the records have settled after an outage.
     fn settle_peers_later(self: &Rc<Self>) {
         self.settle_later(
             |cx| &cx.peers,
@@ -146,14 +146,14 @@
         );
     }
 
-    /// Takes entries by the word of a peer, as long as the store doesn't tell.
-    pub(super) fn adopt_peers(&self, peers: Vec<PeerRecord>) {
-        let mut book = self.peers.borrow_mut();
+    /// Merges entries received from a peer while the store is unreachable.
+    pub(super) fn merge_peers(&self, peers: Vec<PeerRecord>) {
+        let mut registry = self.peers.borrow_mut();
         let mut changed = false;
         for peer in peers {
-            changed |= book.put(&peer.key(), live_at(Position::default()), peer);
+            changed |= registry.put(&peer.key(), live_metadata(Position::default()), peer);
         }
-        drop(book);
+        drop(registry);
         if changed {
             self.publish();
         }
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -1,18 +1,16 @@
-//! The control thread: what the store tells becomes views for traffic.
+//! The control thread: turns the contents of the store into views for traffic.
 //!
-//! One loop follows the operators' keys, another the targets' records,
-//! a third the entries' own ([`follow`]); a fourth keeps this entry's record
-//! there ([`own_record`]). Changes come from the store itself or from a reader of this
-//! entry's hall ([`source`]). While the store doesn't answer, [`peer_state`] asks peers that
-//! may still hear from it. When the store comes back from an older copy, [`era`] says what
-//! stays known. All publish through [`Control::publish`], which tells traffic
-//! what it may use ([`usable`]).
+//! Three loops ([`follow`]) follow the operators' keys, the targets' records and the
+//! entries' records; a fourth maintains this entry's own record ([`own_record`]). Changes
+//! come from the store or from a store follower of this hall ([`source`]). While the store
+//! is unreachable, [`peer_state`] queries peers; [`epoch`] handles a store restored from an
+//! older copy. All of them publish through [`Control::publish`].
 
-mod ask;
 mod backoff;
 mod configuration;
-mod emptied;
-mod era;
+mod derived;
+mod epoch;
+mod evacuated_halls;
 mod follow;
 mod hall_records;
 mod membership;
@@ -21,13 +19,13 @@
 mod own_record;
 mod pauses;
 mod peer_state;
+mod query;
 mod records;
 mod refusals;
 mod rollouts;
 mod settle;
 mod source;
 mod usable;
-mod worked_out;
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -44,10 +42,10 @@
 use tokio::sync::Notify;
 
 use self::configuration::Configuration;
+use self::derived::Derived;
 use self::new_versions::NewVersions;
 use self::pauses::WatchPauses;
-use self::source::Readers;
-use self::worked_out::WorkedOut;
+use self::source::Followers;
 use crate::clock::Clock;
 use crate::crashes::{Refused, ToStore};
 use crate::feed::Feeds;
@@ -57,64 +55,58 @@
 use crate::rollouts::{Orders, Records, ToRecord};
 use crate::view::{Published, View};
 
-/// How long after the store's return a record may still come back, in
-/// milliseconds: about two seconds by the operators' word, and some for a
-/// record that arrives at the last moment.
+/// Time after the store is reachable again within which a record may reappear, in
+/// milliseconds: the operators' two seconds and a margin.
 const RECORD_RETURN_MS: u64 = 2_300;
 
-/// State of the control thread.
 pub struct Control {
     store: Store,
     clock: Clock,
     log: Log,
     published: Arc<Published>,
-    /// The operators' configuration.
     configuration: RefCell<Newest<Configuration>>,
-    /// The halls whose targets get nothing new.
-    emptied: RefCell<EmptiedHalls>,
-    book: RefCell<TargetBook<Arc<TargetRecord>>>,
-    cold: RefCell<ColdSpells>,
-    /// Versions of targets that have just come.
+    /// Evacuated halls: their targets get no new work.
+    evacuated: RefCell<EmptiedHalls>,
+    registry: RefCell<TargetBook<Arc<TargetRecord>>>,
+    warm_ups: RefCell<ColdSpells>,
     new_versions: RefCell<NewVersions>,
-    /// The operators' orders to roll versions out.
     orders: RefCell<Orders>,
-    /// What leaders of roll-outs wrote.
+    /// Phases that roll-out leaders wrote to the store.
     rollout_records: RefCell<Records>,
-    /// Position of the store up to which the book is.
+    /// Store position up to which the target registry is current.
     records_at: Cell<Position>,
-    /// The list of targets is longer than one page of the store.
+    /// The list of targets exceeds one page of the store.
     is_list_long: Cell<bool>,
-    /// When the first list of entries came.
-    entries_listed: Cell<Option<Millis>>,
-    /// The store's era that everything known is of; `None` before its first answer.
-    era: Cell<Option<u64>>,
-    /// Told when the store stops answering.
+    /// When the first list of entries was applied.
+    entries_listed_at: Cell<Option<Millis>>,
+    /// The store's epoch that the state belongs to; `None` before the first response.
+    epoch: Cell<Option<u64>>,
+    /// Notified when the store becomes unreachable.
     store_lost: Notify,
-    /// Told when it answers again.
-    store_back: Notify,
+    /// Notified when the store is reachable again.
+    store_regained: Notify,
     pauses: WatchPauses,
-    /// What this entry hears, for others of its hall.
+    /// Changes received by this entry, served to others of its hall.
     feeds: Arc<Feeds>,
-    readers: Readers,
+    followers: Followers,
     seeds: Vec<SocketAddr>,
-    /// This entry.
+    /// This entry's record.
     me: PeerRecord,
     peers: RefCell<TargetBook<PeerRecord>>,
     /// Requests that the store or a peer lists as refused.
     refused: RefCell<Refused>,
-    /// Shortest lease that the store gives.
-    shortest_lease: Duration,
-    /// Lease of this entry's record, while it has one.
+    /// Minimum lease that the store grants.
+    min_lease: Duration,
+    /// Lease of this entry's record, while it is registered.
     lease: Cell<Option<Lease>>,
-    /// A planned stop began: no record any more.
-    is_leaving: Cell<bool>,
-    views: Cell<u64>,
-    /// Parts of the last view that hold until the books change.
-    worked_out: WorkedOut,
+    /// A planned stop began; the record isn't written any more.
+    is_stopping: Cell<bool>,
+    view_number: Cell<u64>,
+    /// Parts of the last view that stay valid until the registries change.
+    derived: Derived,
 }
 
 impl Control {
-    /// Nothing known yet.
     pub fn new(
         settings: &Settings,
         me: PeerRecord,
@@ -128,51 +120,51 @@
             log: Log::new(&settings.host),
             published,
             configuration: RefCell::default(),
-            emptied: RefCell::default(),
-            book: RefCell::new(TargetBook::new(era::of_targets(settings))),
-            cold: RefCell::default(),
+            evacuated: RefCell::default(),
+            registry: RefCell::new(TargetBook::new(epoch::target_timing(settings))),
+            warm_ups: RefCell::default(),
             new_versions: RefCell::new(NewVersions::new(&settings.bounds)),
             orders: RefCell::default(),
             rollout_records: RefCell::default(),
             records_at: Cell::default(),
             is_list_long: Cell::new(false),
-            entries_listed: Cell::new(None),
-            era: Cell::new(None),
+            entries_listed_at: Cell::new(None),
+            epoch: Cell::new(None),
             store_lost: Notify::new(),
-            store_back: Notify::new(),
+            store_regained: Notify::new(),
             pauses: WatchPauses::new(&settings.bounds),
             feeds,
-            readers: Readers::default(),
+            followers: Followers::default(),
             seeds: settings.seeds.clone(),
             me,
-            peers: RefCell::new(TargetBook::new(era::of_entries())),
+            peers: RefCell::new(TargetBook::new(epoch::entry_timing())),
             refused: RefCell::default(),
-            shortest_lease: Duration::from_millis(settings.store.shortest_lease_ms),
+            min_lease: Duration::from_millis(settings.store.shortest_lease_ms),
             lease: Cell::new(None),
-            is_leaving: Cell::new(false),
-            views: Cell::new(0),
-            worked_out: WorkedOut::default(),
+            is_stopping: Cell::new(false),
+            view_number: Cell::new(0),
+            derived: Derived::default(),
         })
     }
 
-    /// Starts the loops on this thread.
+    /// Starts the control loops on this thread.
     pub fn spawn(self: &Rc<Self>, refused: ToStore, to_record: ToRecord) {
-        actix_rt::spawn(follow::follow(self.clone(), operators::FOLLOWED));
-        actix_rt::spawn(follow::follow(self.clone(), records::FOLLOWED));
-        actix_rt::spawn(own_record::keep(self.clone()));
-        actix_rt::spawn(follow::follow(self.clone(), membership::FOLLOWED));
-        actix_rt::spawn(refusals::keep(self.clone(), refused));
-        actix_rt::spawn(rollouts::record(self.clone(), to_record));
+        actix_rt::spawn(follow::follow(self.clone(), operators::SUBSCRIPTION));
+        actix_rt::spawn(follow::follow(self.clone(), records::SUBSCRIPTION));
+        actix_rt::spawn(own_record::maintain(self.clone()));
+        actix_rt::spawn(follow::follow(self.clone(), membership::SUBSCRIPTION));
+        actix_rt::spawn(refusals::persist(self.clone(), refused));
+        actix_rt::spawn(rollouts::persist(self.clone(), to_record));
         actix_rt::spawn(peer_state::follow(self.clone()));
     }
 
-    /// Puts what is known in force for traffic.
+    /// Publishes the present state as a new view.
     fn publish(&self) {
-        let number = self.views.get() + 1;
-        self.views.set(number);
+        let number = self.view_number.get() + 1;
+        self.view_number.set(number);
         let configuration = self.configuration.borrow().get().cloned();
-        let emptied = self.emptied.borrow().clone();
-        self.take_cold_spells();
+        let emptied = self.evacuated.borrow().clone();
+        self.update_warm_ups();
         let (deployment, source) = configuration.map(|c| (c.deployment, c.source)).unzip();
         self.published.publish(View {
             number,
@@ -188,14 +180,14 @@
         });
     }
 
-    /// A call to the store gave no useful answer.
+    /// Handles a failed call to the store; an outage is logged and published.
     fn store_failed(&self, err: &StoreError) {
         if !err.shows_outage() {
             return;
         }
         self.peers.borrow_mut().store_away();
         self.feeds.store_away();
-        if self.book.borrow_mut().store_away() {
+        if self.registry.borrow_mut().store_away() {
             self.log
                 .line(events::STORE_LOST, format_args!("why=\"{err}\""));
             metrics::count_store_lost();
@@ -204,14 +196,15 @@
         }
     }
 
-    /// A call to the store was answered.
+    /// Handles a successful call to the store; the end of an outage is logged and
+    /// published.
     fn store_answered(&self) {
         self.peers.borrow_mut().store_back(self.clock.now());
-        if self.book.borrow_mut().store_back(self.clock.now()) {
+        if self.registry.borrow_mut().store_back(self.clock.now()) {
             self.log.line(events::STORE_BACK, format_args!(""));
             self.feeds
                 .store_back(Duration::from_millis(RECORD_RETURN_MS));
-            self.store_back.notify_waiters();
+            self.store_regained.notify_waiters();
             self.publish();
         }
     }
--- a/crates/gateway/src/control/new_versions.rs
+++ b/crates/gateway/src/control/new_versions.rs
@@ -1,8 +1,8 @@
-//! Targets whose version a service didn't have before.
+//! Holds back targets of a version that is new to its service.
 //!
-//! The order to roll a version out comes by another watch than the records of its targets,
-//! so a record may be known first. Targets of a version that has just come beside another
-//! one get nothing until an order would be known.
+//! The order to roll a version out and the records of its targets arrive by separate
+//! watches, so a record may come first. Targets of a version that appears beside an older
+//! one get no requests until an order would have arrived.
 
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -16,28 +16,27 @@
 use super::pauses::WatchPauses;
 use super::Control;
 
-/// What an order may need to come here besides the pause of its watch: some hops.
+/// Allowance for the delivery of an order, in addition to the pause of its watch.
 const ORDER_SLACK: Duration = Duration::from_millis(500);
 
-/// When versions of services were first seen.
+/// When each version of each service was first seen.
 pub struct NewVersions {
     held_for: Duration,
-    /// By service and version.
+    /// First sightings by service and version.
     seen: HashMap<String, HashMap<String, Millis>>,
 }
 
-/// Versions whose targets get nothing now.
-pub struct Held<'a>(HashSet<(&'a str, &'a str)>);
+/// Versions whose targets get no requests.
+pub struct HeldVersions<'a>(HashSet<(&'a str, &'a str)>);
 
-impl Held<'_> {
-    /// True when targets of a service with some version get nothing.
+impl HeldVersions<'_> {
+    /// True if targets of this service and version get no requests.
     pub fn contains(&self, service: &str, version: &str) -> bool {
         !self.0.is_empty() && self.0.contains(&(service, version))
     }
 }
 
 impl NewVersions {
-    /// None seen yet.
     pub fn new(bounds: &Bounds) -> Self {
         NewVersions {
             held_for: WatchPauses::new(bounds).operators + ORDER_SLACK,
@@ -49,7 +48,7 @@
         self.held_for.as_millis() as Millis
     }
 
-    /// A version of a service was seen. True when it is held from now on.
+    /// Records a version of a service. Returns true if it is held from now on.
     fn note(&mut self, now: Millis, service: &str, version: &str) -> bool {
         let held_ms = self.held_ms();
         let versions = match self.seen.get_mut(service) {
@@ -64,14 +63,14 @@
         is_beside
     }
 
-    /// True when targets of some version get nothing, or did a moment ago.
+    /// True if any version is held, or was until a moment ago.
     pub fn holds_any(&self, now: Millis) -> bool {
         let just_held = now.saturating_sub(self.held_ms());
         !self.held(now).0.is_empty() || !self.held(just_held).0.is_empty()
     }
 
-    /// The versions that are held at a moment.
-    pub fn held(&self, now: Millis) -> Held<'_> {
+    /// The versions held at `now`.
+    pub fn held(&self, now: Millis) -> HeldVersions<'_> {
         let held_ms = self.held_ms();
         let mut held = HashSet::new();
         for (service, versions) in &self.seen {
@@ -79,17 +78,17 @@
             let new = new.filter(|(_, seen)| is_beside_another(versions, **seen, held_ms));
             held.extend(new.map(|(version, _)| (service.as_str(), version.as_str())));
         }
-        Held(held)
+        HeldVersions(held)
     }
 }
 
-/// True when a version that came at a moment came beside one that was known before.
+/// True if an older version was known when a version appeared at `at`.
 fn is_beside_another(versions: &HashMap<String, Millis>, at: Millis, held_ms: Millis) -> bool {
     versions.values().any(|seen| seen + held_ms <= at)
 }
 
 impl Control {
-    /// Notes the version that a record names.
+    /// Records the version of a target and publishes again when its hold ends.
     pub(super) fn note_version(self: &Rc<Self>, record: &TargetRecord) {
         let (service, version) = (&record.service, &record.version);
         let now = self.clock.now();
--- a/crates/gateway/src/control/operators.rs
+++ b/crates/gateway/src/control/operators.rs
@@ -1,9 +1,9 @@
-//! The operators' keys in the store: the configuration, the halls that they empty, and the
-//! versions that they roll out.
+//! The operators' keys in the store: the configuration, evacuated halls, and orders to roll
+//! versions out.
 //!
-//! All are followed by one watch. Halls and roll-outs are taken before the configuration, so
-//! that an entry which has just started serves nothing in a hall that is empty, nor by a
-//! version on trial.
+//! One watch follows them all. Halls and orders are applied before the configuration, so
+//! that an entry that has just started sends nothing to an evacuated hall or to a version
+//! on trial.
 
 use std::rc::Rc;
 
@@ -11,39 +11,41 @@
 use hollowsail_platform::operators::PREFIX;
 use hollowsail_platform::store::{Change, Changes, Range};
 
-use super::follow::Followed;
+use super::follow::Subscription;
 use super::Control;
 use crate::feed::Keys;
 
-/// The operators' keys.
-pub const FOLLOWED: Followed = Followed {
+/// Follows the operators' keys.
+pub const SUBSCRIPTION: Subscription = Subscription {
     keys: Keys::Operators,
     prefix: PREFIX,
-    may_begin_old: false,
+    allow_stale_start: false,
     probes: true,
-    take_page: |_, _| {},
-    take_all: |cx, range| cx.take_operators_keys(range),
-    take_changes: |cx, changes, _| {
-        cx.take_operators_changes(changes);
+    on_page: |_, _| {},
+    on_list: |cx, range| cx.apply_operator_keys(range),
+    on_changes: |cx, changes, _| {
+        cx.apply_operator_changes(changes);
         cx.pauses.operators
     },
 };
 
 impl Control {
-    fn take_operators_keys(self: &Rc<Self>, range: &Range) {
-        self.take_emptied_list(range);
-        self.take_order_list(range);
+    fn apply_operator_keys(self: &Rc<Self>, range: &Range) {
+        self.apply_evacuated_list(range);
+        self.apply_order_list(range);
         for item in range.items.iter().filter(|item| item.key == KEY) {
-            self.take_source(&item.value, "store");
+            self.apply_configuration(&item.value, "store");
         }
     }
 
-    fn take_operators_changes(self: &Rc<Self>, changes: &Changes) {
-        self.take_emptied_changes(changes);
-        self.take_order_changes(changes);
+    fn apply_operator_changes(self: &Rc<Self>, changes: &Changes) {
+        self.apply_evacuated_changes(changes);
+        self.apply_order_changes(changes);
         for change in &changes.changes {
             match change {
-                Change::Put(item) if item.key == KEY => self.take_source(&item.value, "store"),
+                Change::Put(item) if item.key == KEY => {
+                    self.apply_configuration(&item.value, "store")
+                }
                 Change::Put(_) | Change::Deleted { .. } => {}
             }
         }
--- a/crates/gateway/src/control/pauses.rs
+++ b/crates/gateway/src/control/pauses.rs
@@ -1,4 +1,4 @@
-//! How long watches pause, by what the settings ask.
+//! Pauses between watches, derived from the bounds in the settings.
 
 use std::cell::RefCell;
 use std::time::Duration;
@@ -6,46 +6,45 @@
 use hollowsail_fleet::TargetBook;
 use hollowsail_platform::settings::Bounds;
 
-use super::source::READER_WAIT_SHARE;
+use super::source::FOLLOWER_WAIT_SHARE;
 use super::Control;
 
-/// Part of the time in which a change has to be heeded that a watch may pause.
+/// Share of the time within which a change must take effect that a watch may pause.
 const PAUSE_SHARE: u32 = 8;
 
-/// The longest that watches pause after a change, so that changes which come one after the
-/// other are told in a few answers: each is a call with a price.
+/// Longest pauses after a change, which let successive changes share a response: each
+/// response of the store has a cost.
 #[derive(Debug, Clone, Copy)]
 pub struct WatchPauses {
     /// After a change of the operators' keys.
     pub operators: Duration,
     pub records: Duration,
-    /// How long a watch of a reader waits for changes.
-    pub reader_wait: Duration,
+    /// How long a store follower's watch waits for changes.
+    pub follower_wait: Duration,
 }
 
 impl WatchPauses {
-    /// By the bounds of the settings.
     pub fn new(bounds: &Bounds) -> Self {
         let share = |ms: u64| Duration::from_millis(ms) / PAUSE_SHARE;
         let operators_ms = bounds.configuration_ms.min(bounds.emptying_ms);
         WatchPauses {
             operators: share(operators_ms),
             records: share(bounds.drain_ms),
-            reader_wait: Duration::from_millis(operators_ms).mul_f64(READER_WAIT_SHARE),
+            follower_wait: Duration::from_millis(operators_ms).mul_f64(FOLLOWER_WAIT_SHARE),
         }
     }
 }
 
 impl Control {
-    /// Pause of the watch on a book's records: short after they were read, so that what
-    /// comes together with this entry, or with the store's return, is soon known.
+    /// Pause of the watch on a registry's records: short after they were read, so that
+    /// records which arrive together are applied soon.
     pub(super) fn watch_pause<R: PartialEq>(
         &self,
-        book: &RefCell<TargetBook<R>>,
+        registry: &RefCell<TargetBook<R>>,
         longest: Duration,
     ) -> Duration {
         let longest_ms = longest.as_millis() as u64;
-        let pause = book.borrow().watch_pause(self.clock.now(), longest_ms);
+        let pause = registry.borrow().watch_pause(self.clock.now(), longest_ms);
         Duration::from_millis(pause)
     }
 }
--- a/crates/gateway/src/control/peer_state.rs
+++ b/crates/gateway/src/control/peer_state.rs
@@ -1,8 +1,8 @@
-//! Asks peers for what is new while the store doesn't answer this entry.
+//! Queries peers for new state while the store doesn't answer this entry.
 //!
-//! The store may turn some hosts away and serve others, and a process may start
-//! while it is away. Two random peers are asked at a time; the highest version
-//! and the newest records win, whoever brings them.
+//! The store may refuse some hosts and serve others, and a process may start during an
+//! outage. Two random peers are queried at a time; the highest version and the newest
+//! records win, regardless of the peer.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,35 +11,35 @@
 use hollowsail_connect::{Pool, PoolRules};
 use rand::seq::IndexedRandom;
 
-use super::ask::{self, AskError};
+use super::query::{self, QueryError};
 use super::Control;
 use crate::peers::{StateAnswer, StateAsk, STATE_PATH};
 
-/// Between two questions. A configuration has to be in force within seconds at
-/// a host that the store turns away.
-const ASK_EVERY: Duration = Duration::from_millis(400);
-/// Longest time for an answer.
-const ANSWER_WITHIN: Duration = Duration::from_millis(350);
-/// Peers asked at a time: one of them may be as cut off as this entry.
-const PEERS_ASKED: usize = 2;
+/// Interval between rounds: a configuration must be in force within seconds at a host that
+/// the store refuses.
+const QUERY_INTERVAL: Duration = Duration::from_millis(400);
+/// Timeout of one query.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(350);
+/// Peers queried in a round: one of them may be cut off from the store as well.
+const PEERS_PER_ROUND: usize = 2;
 
-/// Asks as long as the thread runs, whenever the store is away.
+/// Queries peers whenever the store is unreachable, until the thread ends.
 pub async fn follow(cx: Rc<Control>) {
     loop {
-        if !cx.book.borrow().is_store_away() {
+        if !cx.registry.borrow().is_store_away() {
             cx.store_lost.notified().await;
         }
         for addr in choose_peers(&cx) {
-            match ask_peer(&cx, addr).await {
-                Ok(answer) => cx.take_state(answer),
-                Err(err) => log::debug!("peer {addr} told nothing: {err}"),
+            match query_peer(&cx, addr).await {
+                Ok(answer) => cx.apply_state(answer),
+                Err(err) => log::debug!("peer {addr} returned no state: {err}"),
             }
         }
-        tokio::time::sleep(ASK_EVERY).await;
+        tokio::time::sleep(QUERY_INTERVAL).await;
     }
 }
 
-/// Some peers; the seeds when none is known.
+/// Chooses random peers, or seeds if no peer is known.
 fn choose_peers(cx: &Control) -> Vec<SocketAddr> {
     let peers = cx.peers.borrow();
     let known = peers.usable().filter(|peer| peer.id != cx.me.id);
@@ -49,43 +49,43 @@
     }
     addrs.retain(|addr| *addr != cx.me.addr);
     addrs
-        .choose_multiple(&mut rand::rng(), PEERS_ASKED)
+        .choose_multiple(&mut rand::rng(), PEERS_PER_ROUND)
         .copied()
         .collect()
 }
 
-async fn ask_peer(cx: &Control, addr: SocketAddr) -> Result<StateAnswer, AskError> {
+async fn query_peer(cx: &Control, addr: SocketAddr) -> Result<StateAnswer, QueryError> {
     let rules = PoolRules {
-        dial_within: ANSWER_WITHIN,
+        dial_within: ANSWER_TIMEOUT,
         max_idle: 0,
         idle_for: Duration::ZERO,
     };
-    let question = StateAsk {
+    let request = StateAsk {
         configuration: cx.configuration_version(),
         records: cx.records_at.get(),
-        emptied: cx.emptied.borrow().as_of(),
+        emptied: cx.evacuated.borrow().as_of(),
     };
-    ask::ask(
+    query::query(
         &Pool::new(addr, rules),
         STATE_PATH,
-        &question,
-        ANSWER_WITHIN,
+        &request,
+        ANSWER_TIMEOUT,
     )
     .await
 }
 
 impl Control {
-    /// Takes what a peer told.
-    fn take_state(self: &Rc<Self>, answer: StateAnswer) {
+    /// Applies the state that a peer returned.
+    fn apply_state(self: &Rc<Self>, answer: StateAnswer) {
         if let Some(emptied) = answer.emptied {
-            self.adopt_emptied(emptied);
+            self.adopt_evacuated(emptied);
         }
-        self.adopt_orders(answer.orders);
+        self.merge_orders(answer.orders);
         if let Some(source) = &answer.configuration {
-            self.take_source(source, "peer");
+            self.apply_configuration(source, "peer");
         }
-        self.adopt_peers(answer.peers);
-        self.adopt_refused(answer.refused);
+        self.merge_peers(answer.peers);
+        self.merge_refused(answer.refused);
         if let Some(records) = answer.records {
             self.adopt_records(records);
         }
--- a/crates/gateway/src/control/records.rs
+++ b/crates/gateway/src/control/records.rs
@@ -1,4 +1,4 @@
-//! The targets' records, as the store or a peer tells them.
+//! The targets' records, as received from the store or a peer.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -8,43 +8,41 @@
 use hollowsail_platform::store::{Change, Changes, Item, Range};
 use hollowsail_platform::targets::{self, Incarnation, TargetRecord, PREFIX};
 
-use super::follow::Followed;
-use super::source::Teller;
+use super::follow::Subscription;
+use super::source::Origin;
 use super::Control;
 use crate::feed::Keys;
 use crate::peers::{RecordAt, RecordsAt};
 
-/// Records that come together from which on they are counted in one line instead of told one
-/// by one: a whole fleet's, at each entry, are more than anybody reads.
-const MANY_RECORDS: usize = 200;
+/// Batch size from which changed records are logged as one summary line.
+const SUMMARY_THRESHOLD: usize = 200;
 
-/// The records' keys.
-pub const FOLLOWED: Followed = Followed {
+/// Follows the targets' records.
+pub const SUBSCRIPTION: Subscription = Subscription {
     keys: Keys::Targets,
     prefix: PREFIX,
-    may_begin_old: true,
+    allow_stale_start: true,
     probes: false,
-    take_page: |cx, items| cx.take_some_records(items),
-    take_all: |cx, range| {
-        cx.take_records(range);
+    on_page: |cx, items| cx.apply_record_page(items),
+    on_list: |cx, range| {
+        cx.apply_record_list(range);
         cx.settle_records_later();
     },
-    take_changes: |cx, changes, teller| {
-        cx.hear_of_outage(teller);
-        cx.take_record_changes(changes, teller);
+    on_changes: |cx, changes, origin| {
+        cx.note_follower_outage(origin);
+        cx.apply_record_changes(changes, origin);
         cx.settle_records_later();
-        cx.watch_pause(&cx.book, cx.pauses.records)
+        cx.watch_pause(&cx.registry, cx.pauses.records)
     },
 };
 
 impl Control {
-    /// Takes a part of the records from the store, so that requests are served by the
-    /// targets known so far. Where hundreds of hosts start together and read thousands of
-    /// records each, the whole list takes seconds on the store's link.
-    fn take_some_records(self: &Rc<Self>, items: &[Item]) {
+    /// Applies a page of the list, so that known targets serve requests before the whole
+    /// list is read. With hundreds of hosts starting together, that takes seconds.
+    fn apply_record_page(self: &Rc<Self>, items: &[Item]) {
         let mut changed = 0;
         for item in items {
-            changed += usize::from(self.take_record(item, items.len()));
+            changed += usize::from(self.apply_record(item, items.len()));
         }
         if changed > 0 {
             self.log_listed(changed, "store");
@@ -52,55 +50,62 @@
         }
     }
 
-    /// Tells of records that came together and are too many to be told one by one.
+    /// Logs a summary of records that are too many to be logged one by one.
     fn log_listed(&self, changed: usize, from: &str) {
-        if changed >= MANY_RECORDS {
+        if changed >= SUMMARY_THRESHOLD {
             let fields = format_args!("from={from} changed={changed}");
             self.log.line(events::TARGETS_LISTED, fields);
         }
     }
 
-    /// Takes the rest of a list whose parts were taken: records that it doesn't have are
-    /// gone.
-    fn take_records(&self, range: &Range) {
+    /// Completes a list whose pages were applied: targets missing from it are gone.
+    fn apply_record_list(&self, range: &Range) {
         let present: Vec<&str> = range
             .items
             .iter()
             .filter_map(|item| item.key.strip_prefix(PREFIX))
             .collect();
         let now = self.clock.now();
-        let gone = self.book.borrow_mut().reconcile(&present, range.at, now);
+        let gone = self
+            .registry
+            .borrow_mut()
+            .reconcile(&present, range.at, now);
         self.log_gone(&gone, "not_listed");
         self.records_at.set(range.at);
         self.publish();
     }
 
-    fn take_record_changes(self: &Rc<Self>, changes: &Changes, teller: Teller) {
-        if changes.changes.len() >= MANY_RECORDS {
+    fn apply_record_changes(self: &Rc<Self>, changes: &Changes, origin: Origin) {
+        if changes.changes.len() >= SUMMARY_THRESHOLD {
             self.is_list_long.set(true);
         }
         self.records_at.set(changes.at);
         let mut changed = false;
         for change in &changes.changes {
-            changed |= self.take_change(change, teller, changes.changes.len());
+            changed |= self.apply_record_change(change, origin, changes.changes.len());
         }
         if changed {
             self.publish();
         }
     }
 
-    /// Takes one change into the book. True when the book changed.
-    fn take_change(self: &Rc<Self>, change: &Change, teller: Teller, together: usize) -> bool {
+    /// Applies one change. Returns true if the registry changed.
+    fn apply_record_change(
+        self: &Rc<Self>,
+        change: &Change,
+        origin: Origin,
+        batch_size: usize,
+    ) -> bool {
         match change {
-            Change::Put(item) => self.take_record(item, together),
+            Change::Put(item) => self.apply_record(item, batch_size),
             Change::Deleted { key, at } => {
                 let Some(incarnation) = key.strip_prefix(PREFIX) else {
                     return false;
                 };
-                let is_unsettled = self.is_unsettled(&self.book, teller);
-                let mut book = self.book.borrow_mut();
-                let gone = book.deleted(incarnation, *at, is_unsettled);
-                drop(book);
+                let is_unsettled = self.is_unsettled(&self.registry, origin);
+                let mut registry = self.registry.borrow_mut();
+                let gone = registry.deleted(incarnation, *at, is_unsettled);
+                drop(registry);
                 if gone {
                     self.log_gone(&[incarnation.to_string()], "record_deleted");
                 }
@@ -109,14 +114,14 @@
         }
     }
 
-    /// Takes one record into the book. True when the book changed. One that can't be used
-    /// takes its target out of use: others may write there, too, and who did isn't known.
-    fn take_record(self: &Rc<Self>, item: &Item, together: usize) -> bool {
+    /// Applies one record. Returns true if the registry changed. A malformed record takes
+    /// its target out of use, whichever process wrote it.
+    fn apply_record(self: &Rc<Self>, item: &Item, batch_size: usize) -> bool {
         let Some(id) = targets::id_of(&item.key) else {
             return false;
         };
         match targets::decode(id, &item.value) {
-            Ok(record) => self.put_record(record, item.at, together),
+            Ok(record) => self.put_record(record, item.at, batch_size),
             Err(err) => {
                 let fields = format_args!(
                     "key={} at={} bytes={} why=\"{err}\"",
@@ -125,7 +130,7 @@
                     item.value.len()
                 );
                 self.log.line(events::RECORD_UNREADABLE, fields);
-                let gone = self.book.borrow_mut().spoiled(id, item.at);
+                let gone = self.registry.borrow_mut().spoiled(id, item.at);
                 if gone {
                     self.log_gone(&[id.to_string()], "record_unreadable");
                 }
@@ -134,42 +139,42 @@
         }
     }
 
-    /// Takes all records by the word of a peer that hears from the store.
-    pub(super) fn adopt_records(self: &Rc<Self>, told: RecordsAt) {
-        let present: Vec<String> = told
+    /// Adopts all records from a peer that follows the store.
+    pub(super) fn adopt_records(self: &Rc<Self>, listed: RecordsAt) {
+        let present: Vec<String> = listed
             .records
             .iter()
             .map(|record| record.record.incarnation.id.clone())
             .collect();
-        let together = told.records.len();
+        let batch_size = listed.records.len();
         let mut changed = false;
-        for RecordAt { at, record } in told.records {
-            changed |= self.put_record(record, at, together);
+        for RecordAt { at, record } in listed.records {
+            changed |= self.put_record(record, at, batch_size);
         }
         let present: Vec<&str> = present.iter().map(String::as_str).collect();
-        let gone = self.book.borrow_mut().adopt(&present, told.at);
+        let gone = self.registry.borrow_mut().adopt(&present, listed.at);
         self.log_gone(&gone, "told_by_peer");
-        self.records_at.set(told.at.max(self.records_at.get()));
+        self.records_at.set(listed.at.max(self.records_at.get()));
         if changed || !gone.is_empty() {
             self.publish();
         }
     }
 
-    /// Puts a record into the book, one of so many that came together. True when the book
-    /// changed.
-    fn put_record(self: &Rc<Self>, record: TargetRecord, at: Position, together: usize) -> bool {
+    /// Puts a record into the registry, as one of `batch_size`. Returns true if the
+    /// registry changed.
+    fn put_record(self: &Rc<Self>, record: TargetRecord, at: Position, batch_size: usize) -> bool {
         self.note_version(&record);
         let record = Arc::new(record);
         let Incarnation { id, born } = &record.incarnation;
         let draining = record.draining;
-        let told = Told {
+        let metadata = Told {
             at,
             start: *born,
             draining,
         };
-        let mut book = self.book.borrow_mut();
-        let changed = book.put(id, told, record.clone());
-        if changed && together < MANY_RECORDS {
+        let mut registry = self.registry.borrow_mut();
+        let changed = registry.put(id, metadata, record.clone());
+        if changed && batch_size < SUMMARY_THRESHOLD {
             let fields = format_args!(
                 "target={id} born={born} service={} addr={} hall={} draining={draining} at={at}",
                 record.service, record.addr, record.hall
@@ -186,10 +191,11 @@
         }
     }
 
-    /// Drops targets that are still missing once the store's return is settled.
+    /// Removes targets that are still missing once the records have settled after an
+    /// outage.
     fn settle_records_later(self: &Rc<Self>) {
         self.settle_later(
-            |cx| &cx.book,
+            |cx| &cx.registry,
             |cx, gone| cx.log_gone(gone, "not_back_after_outage"),
         );
     }
--- a/crates/gateway/src/control/refusals.rs
+++ b/crates/gateway/src/control/refusals.rs
@@ -1,8 +1,8 @@
-//! Requests that end targets, as the store keeps them for entries that start later.
+//! Requests that crash targets, kept in the store for entries that start later.
 //!
-//! The entry that counted the last crash writes the request's digest under a lease that
-//! lasts as long as the refusal. An entry reads them with the entries' own records. A
-//! digest that goes is no longer refused: its lease is over, or operators deleted it.
+//! The entry that counted the last crash writes the request's digest under a lease as long
+//! as the refusal. Entries read the digests together with the entries' records. A deleted
+//! digest is no longer refused: its lease has expired, or operators deleted it.
 
 use std::rc::Rc;
 
@@ -14,58 +14,58 @@
 use serde::{Deserialize, Serialize};
 
 use super::backoff::Backoff;
-use super::era;
-use super::source::Teller;
+use super::epoch;
+use super::source::Origin;
 use super::Control;
 use crate::crashes::{NewRefusal, ToStore, PREFIX};
 
-/// Times that a refusal is written before it is told to the entries alone.
-const MOST_TRIES: u32 = 5;
+/// Attempts at writing a refusal, after which only the running entries know it.
+const MAX_TRIES: u32 = 5;
 
-/// What lies in the store under a refused request's key.
+/// Value stored under a refused request's key.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 struct RefusalRecord {
-    /// How long the refusal lasts from when this was written, in milliseconds.
+    /// Duration of the refusal from the time of the write, in milliseconds.
     for_ms: Millis,
 }
 
-/// A refusal that this entry wrote, and until when it holds.
+/// A refusal written by this entry, and when it ends.
 struct Written {
     request: RequestDigest,
     until: Moment,
 }
 
-/// Writes refusals to the store as traffic decides on them, and again when the store has
-/// come back from a copy without them.
-pub async fn keep(cx: Rc<Control>, mut decided: ToStore) {
+/// Writes refusals to the store as traffic decides them, and again when the store was
+/// restored from an older copy.
+pub async fn persist(cx: Rc<Control>, mut decided: ToStore) {
     let mut written: Vec<Written> = Vec::new();
-    let mut era = cx.store.era();
+    let mut epoch = cx.store.era();
     loop {
         tokio::select! {
             refusal = decided.recv() => {
                 let Some(refusal) = refusal else { return };
-                write_in_tries(&cx, refusal).await;
+                write_with_retries(&cx, refusal).await;
                 written.retain(|known| known.request != refusal.request);
                 let until = Moment::now() + refusal.lasts;
                 written.push(Written { request: refusal.request, until });
             }
-            () = cx.store.later_era(era) => {
-                era = cx.store.era();
-                era::spread().await;
+            () = cx.store.later_era(epoch) => {
+                epoch = cx.store.era();
+                epoch::random_delay().await;
                 written.retain(|known| Moment::now() < known.until);
                 for known in &written {
                     let lasts = known.until.saturating_since(Moment::now());
-                    write_in_tries(&cx, NewRefusal { request: known.request, lasts }).await;
+                    write_with_retries(&cx, NewRefusal { request: known.request, lasts }).await;
                 }
             }
         }
     }
 }
 
-/// Writes a refusal, some times if it has to be.
-async fn write_in_tries(cx: &Control, refusal: NewRefusal) {
+/// Writes a refusal, with up to [`MAX_TRIES`] attempts.
+async fn write_with_retries(cx: &Control, refusal: NewRefusal) {
     let mut backoff = Backoff::default();
-    for _ in 0..MOST_TRIES {
+    for _ in 0..MAX_TRIES {
         let Err(err) = write(cx, refusal).await else {
             return;
         };
@@ -78,28 +78,28 @@
 }
 
 async fn write(cx: &Control, refusal: NewRefusal) -> Result<(), StoreError> {
-    let lease = cx.store.lease(refusal.lasts.max(cx.shortest_lease)).await?;
+    let lease = cx.store.lease(refusal.lasts.max(cx.min_lease)).await?;
     let key = format!("{PREFIX}{}", refusal.request);
     let record = RefusalRecord {
         for_ms: refusal.lasts.as_millis() as Millis,
     };
     let value = rmp_serde::to_vec(&record).expect("this type always encodes");
-    // The record of another entry, or of a refusal that is just over, may be there.
-    let there = cx.store.get(&key).await?;
-    let expected = there.map(|item| item.at);
+    // Another entry's record, or that of an expired refusal, may be present.
+    let current = cx.store.get(&key).await?;
+    let expected = current.map(|item| item.at);
     cx.store.put(&key, expected, &value, lease).await?;
     Ok(())
 }
 
-/// The refused request that a key stands for.
+/// Parses the request's digest from a key.
 fn request_of(key: &str) -> Option<RequestDigest> {
     RequestDigest::parse(key.strip_prefix(PREFIX)?)
 }
 
 impl Control {
-    /// Takes all refused requests that the store lists. One that it doesn't list was taken
-    /// back, unless its lease may have run out in an outage, or its record is lost.
-    pub(super) fn take_refused_list(&self, items: &[Item]) {
+    /// Applies the complete list. A request missing from it is no longer refused, unless
+    /// its lease may have expired or its record may have been lost in an outage.
+    pub(super) fn apply_refused_list(&self, items: &[Item]) {
         let listed = items.iter().filter_map(|item| request_of(&item.key));
         let listed: Vec<RequestDigest> = listed.collect();
         if !self.peers.borrow().is_unsettled(self.clock.now()) {
@@ -107,28 +107,28 @@
             refused.retain(|request, _| listed.contains(request));
         }
         for item in items {
-            self.take_refused(item);
+            self.apply_refusal(item);
         }
     }
 
-    /// Takes one change. True when it is news.
-    pub(super) fn take_refused_change(&self, change: &Change, teller: Teller) -> bool {
+    /// Applies one change. Returns true if the refusals changed.
+    pub(super) fn apply_refused_change(&self, change: &Change, origin: Origin) -> bool {
         match change {
-            Change::Put(item) => self.take_refused(item),
+            Change::Put(item) => self.apply_refusal(item),
             Change::Deleted { key, .. } => request_of(key).is_some_and(|request| {
-                // Leases may run out while the store is away: that takes nothing back.
-                !self.is_unsettled(&self.peers, teller)
+                // Leases may expire while the store is unreachable, which lifts no refusal.
+                !self.is_unsettled(&self.peers, origin)
                     && self.refused.borrow_mut().remove(&request).is_some()
             }),
         }
     }
 
-    fn take_refused(&self, item: &Item) -> bool {
+    fn apply_refusal(&self, item: &Item) -> bool {
         let Some(request) = request_of(&item.key) else {
             return false;
         };
         match rmp_serde::from_slice::<RefusalRecord>(&item.value) {
-            Ok(record) => self.refuse(request, record.for_ms),
+            Ok(record) => self.insert_refusal(request, record.for_ms),
             Err(err) => {
                 let fields = format_args!("key={} why=\"{err}\"", item.key);
                 self.log.line(events::RECORD_UNREADABLE, fields);
@@ -137,21 +137,21 @@
         }
     }
 
-    /// Takes refused requests by the word of a peer.
-    pub(super) fn adopt_refused(&self, told: Vec<(RequestDigest, Millis)>) {
-        let told = told.into_iter();
-        let news = told.filter(|(request, for_ms)| self.refuse(*request, *for_ms));
-        if news.count() > 0 {
+    /// Merges refused requests received from a peer.
+    pub(super) fn merge_refused(&self, received: Vec<(RequestDigest, Millis)>) {
+        let received = received.into_iter();
+        let added = received.filter(|(request, for_ms)| self.insert_refusal(*request, *for_ms));
+        if added.count() > 0 {
             self.publish();
         }
     }
 
-    /// Notes a refused request. True when it is news.
-    fn refuse(&self, request: RequestDigest, for_ms: Millis) -> bool {
+    /// Records a refused request. Returns true if it is new.
+    fn insert_refusal(&self, request: RequestDigest, for_ms: Millis) -> bool {
         let until = self.clock.now() + for_ms.min(MOST_REFUSED_MS);
         let mut refused = self.refused.borrow_mut();
-        let is_news = !refused.contains_key(&request);
+        let is_new = !refused.contains_key(&request);
         refused.entry(request).or_insert(until);
-        is_news
+        is_new
     }
 }
--- a/crates/gateway/src/control/rollouts.rs
+++ b/crates/gateway/src/control/rollouts.rs
@@ -1,8 +1,7 @@
-//! Orders to roll versions out, and what leaders write on them.
+//! Orders to roll versions out, and the phases that leaders write for them.
 //!
-//! What a leader writes lies under two keys that change together: one that entries read,
-//! which names the order that it is of, and one that operators read. A verdict is never
-//! written over as long as its order stands.
+//! A phase is written to two keys in one transaction: one for entries, which names the
+//! order, and one for operators. A verdict isn't overwritten while its order is in force.
 
 use std::rc::Rc;
 
@@ -15,31 +14,31 @@
 
 use super::backoff::Backoff;
 use super::Control;
-use crate::rollouts::{Orders, PlacedOrder, RecordPhase, Recorded, ToRecord, PREFIX};
+use crate::rollouts::{Orders, PlacedOrder, RecordPhase, RecordedPhase, ToRecord, PREFIX};
 
-/// Times that a phase is written before its leader is left to ask again.
-const MOST_TRIES: u32 = 4;
+/// Attempts at writing a phase; after that the leader has to request it again.
+const MAX_TRIES: u32 = 4;
 
-/// Writes phases to the store as leaders decide on them.
-pub async fn record(cx: Rc<Control>, mut decided: ToRecord) {
+/// Writes phases to the store as leaders decide them.
+pub async fn persist(cx: Rc<Control>, mut decided: ToRecord) {
     while let Some(RecordPhase {
         placed,
         phase,
         reply,
     }) = decided.recv().await
     {
-        let recorded = write_in_tries(&cx, &placed, phase).await;
-        // Its leader may have ended meanwhile.
-        let _waits = recorded.map(|recorded| reply.send(recorded));
+        let recorded = write_with_retries(&cx, &placed, phase).await;
+        // The leader's task may have ended in the meantime.
+        let _sent = recorded.map(|recorded| reply.send(recorded));
     }
 }
 
-/// Writes a phase, some times if it has to be. Gives what lies there then.
-async fn write_in_tries(cx: &Control, placed: &PlacedOrder, phase: Phase) -> Option<Phase> {
+/// Writes a phase, with up to [`MAX_TRIES`] attempts. Returns the phase stored afterwards.
+async fn write_with_retries(cx: &Control, placed: &PlacedOrder, phase: Phase) -> Option<Phase> {
     let mut backoff = Backoff::default();
-    for _ in 0..MOST_TRIES {
+    for _ in 0..MAX_TRIES {
         let written = write(cx, placed, phase).await;
-        log_recorded(cx, placed, &written);
+        log_recording(cx, placed, &written);
         match written {
             Ok(recorded) => return Some(recorded),
             Err(err) => cx.store_failed(&err),
@@ -52,13 +51,13 @@
 async fn write(cx: &Control, placed: &PlacedOrder, phase: Phase) -> Result<Phase, StoreError> {
     let service = &placed.order.service;
     let key = format!("{PREFIX}{service}");
-    let there = cx.store.get(&key).await?;
-    let known = there.as_ref().and_then(|item| cx.decode_record(item));
+    let current = cx.store.get(&key).await?;
+    let known = current.as_ref().and_then(|item| cx.decode_record(item));
     let known = known.filter(|known| known.order == placed.at);
     if let Some(known) = known.filter(|known| known.phase.is_final() || known.phase == phase) {
         return Ok(known.phase);
     }
-    let recorded = Recorded {
+    let recorded = RecordedPhase {
         order: placed.at,
         phase,
     };
@@ -66,12 +65,12 @@
     let status_key = rollout_status_key(service);
     let status = encode_rollout_status(&placed.order, state_of(phase));
     let puts: [(&str, &[u8]); 2] = [(&key, &record), (&status_key, &status)];
-    let expected = there.map(|item| item.at);
+    let expected = current.map(|item| item.at);
     cx.store.put_together(expected, &puts).await?;
     Ok(phase)
 }
 
-/// What operators are told of a phase.
+/// State that operators are shown for a phase.
 fn state_of(phase: Phase) -> RolloutState {
     match phase {
         Phase::Completed => RolloutState::Completed,
@@ -80,7 +79,7 @@
     }
 }
 
-fn log_recorded(cx: &Control, placed: &PlacedOrder, written: &Result<Phase, StoreError>) {
+fn log_recording(cx: &Control, placed: &PlacedOrder, written: &Result<Phase, StoreError>) {
     let PlacedOrder { order, at } = placed;
     let (service, version) = (&order.service, &order.version);
     let outcome = match written {
@@ -92,16 +91,16 @@
 }
 
 impl Control {
-    /// Takes all orders that the store lists.
-    pub(super) fn take_order_list(&self, range: &Range) {
+    /// Applies the complete list of orders.
+    pub(super) fn apply_order_list(&self, range: &Range) {
         let items = range.items.iter();
         let listed = items.filter_map(|item| self.decode_order(item)).collect();
-        self.change_orders(|orders| orders.take_list(range.at, listed));
+        self.update_orders(|orders| orders.apply_list(range.at, listed));
     }
 
-    /// Takes orders that were given or withdrawn since.
-    pub(super) fn take_order_changes(&self, changes: &Changes) {
-        self.change_orders(|orders| {
+    /// Applies orders that were given or withdrawn.
+    pub(super) fn apply_order_changes(&self, changes: &Changes) {
+        self.update_orders(|orders| {
             let mut changed = false;
             for change in &changes.changes {
                 changed |= match change {
@@ -118,25 +117,25 @@
         });
     }
 
-    /// Takes orders by the word of a peer.
-    pub(super) fn adopt_orders(&self, told: Vec<PlacedOrder>) {
-        self.change_orders(|orders| {
+    /// Merges orders received from a peer.
+    pub(super) fn merge_orders(&self, received: Vec<PlacedOrder>) {
+        self.update_orders(|orders| {
             let mut changed = false;
-            for placed in told {
+            for placed in received {
                 changed |= orders.put(placed);
             }
             changed
         });
     }
 
-    fn change_orders(&self, change: impl FnOnce(&mut Orders) -> bool) {
+    fn update_orders(&self, change: impl FnOnce(&mut Orders) -> bool) {
         let changed = change(&mut self.orders.borrow_mut());
         if changed {
             self.publish();
         }
     }
 
-    /// Reads an order; one that can't be followed is told and left.
+    /// Decodes an order; a malformed one is logged and ignored.
     fn decode_order(&self, item: &Item) -> Option<PlacedOrder> {
         let service = rollout_service(&item.key)?;
         match decode_rollout(service, &item.value) {
@@ -149,23 +148,24 @@
         }
     }
 
-    /// Takes what leaders wrote, as the store lists it.
-    pub(super) fn take_rollout_records(&self, items: &[Item]) {
+    /// Applies the phases listed by the store.
+    pub(super) fn apply_rollout_records(&self, items: &[Item]) {
         for item in items {
-            self.take_rollout_record(item);
+            self.apply_rollout_record(item);
         }
     }
 
-    /// Takes one change. True when it is news.
-    pub(super) fn take_rollout_change(&self, change: &Change) -> bool {
+    /// Applies one change. Returns true if the recorded phases changed.
+    pub(super) fn apply_rollout_change(&self, change: &Change) -> bool {
         match change {
-            Change::Put(item) => self.take_rollout_record(item),
-            // Nobody deletes them; an order that is gone says enough.
+            Change::Put(item) => self.apply_rollout_record(item),
+            // Entries don't delete phases; a withdrawn order is handled through the order's
+            // own key.
             Change::Deleted { .. } => false,
         }
     }
 
-    fn take_rollout_record(&self, item: &Item) -> bool {
+    fn apply_rollout_record(&self, item: &Item) -> bool {
         let Some(service) = item.key.strip_prefix(PREFIX) else {
             return false;
         };
@@ -176,7 +176,7 @@
         records.insert(service.to_string(), recorded) != Some(recorded)
     }
 
-    fn decode_record(&self, item: &Item) -> Option<Recorded> {
+    fn decode_record(&self, item: &Item) -> Option<RecordedPhase> {
         match rmp_serde::from_slice(&item.value) {
             Ok(recorded) => Some(recorded),
             Err(err) => {
--- a/crates/gateway/src/control/usable.rs
+++ b/crates/gateway/src/control/usable.rs
@@ -1,4 +1,4 @@
-//! Which targets traffic may use, by all that control knows.
+//! Derives the targets that traffic may use from the control thread's state.
 
 use std::collections::BTreeSet;
 
@@ -9,55 +9,55 @@
 use super::Control;
 
 impl Control {
-    /// Targets that may get new work: usable, and in no emptied hall.
-    pub(super) fn usable_targets(&self, emptied: &EmptiedHalls) -> Vec<UsableTarget> {
-        let book = self.book.borrow();
-        let cold = self.cold.borrow();
+    /// Targets that may get new work: usable, in no evacuated hall, and of no held version.
+    pub(super) fn usable_targets(&self, evacuated: &EmptiedHalls) -> Vec<UsableTarget> {
+        let registry = self.registry.borrow();
+        let cold = self.warm_ups.borrow();
         let new_versions = self.new_versions.borrow();
         let held = new_versions.held(self.clock.now());
-        let outside = book
+        let eligible = registry
             .usable()
-            .filter(|target| !emptied.contains(&target.hall))
+            .filter(|target| !evacuated.contains(&target.hall))
             .filter(|target| !held.contains(&target.service, &target.version));
-        let targets = outside.map(|record| UsableTarget {
+        let targets = eligible.map(|record| UsableTarget {
             cold_until: cold.until(&record.incarnation.id),
             record: record.clone(),
         });
         targets.collect()
     }
 
-    /// True while which targets may get new work depends on the time, too.
-    pub(super) fn changes_with_time(&self) -> bool {
+    /// True if the usable targets also depend on the time.
+    pub(super) fn depends_on_time(&self) -> bool {
         self.new_versions.borrow().holds_any(self.clock.now())
     }
 
-    /// Targets whose records say that they leave.
-    pub(super) fn leaving_targets(&self) -> Vec<Incarnation> {
-        let book = self.book.borrow();
-        let leaving = book.all().filter(|(_, record)| record.draining);
-        leaving
+    /// Targets whose records report draining.
+    pub(super) fn draining_targets(&self) -> Vec<Incarnation> {
+        let registry = self.registry.borrow();
+        let draining = registry.all().filter(|(_, record)| record.draining);
+        draining
             .map(|(_, record)| record.incarnation.clone())
             .collect()
     }
 
-    /// Takes what the records at hand tell of cold spells.
-    pub(super) fn take_cold_spells(&self) {
-        let book = self.book.borrow();
-        let cold = book.all().filter(|(_, record)| record.cold_ms > 0);
+    /// Updates warm-ups from the present records.
+    pub(super) fn update_warm_ups(&self) {
+        let registry = self.registry.borrow();
+        let cold = registry.all().filter(|(_, record)| record.cold_ms > 0);
         let cold = cold.map(|(at, record)| ColdRecord {
             incarnation: &record.incarnation.id,
             at,
             cold_ms: record.cold_ms,
         });
-        self.cold.borrow_mut().take(self.clock.now(), cold);
+        self.warm_ups.borrow_mut().take(self.clock.now(), cold);
     }
 
-    /// Names of services that have usable targets, all of them in emptied halls.
-    pub(super) fn emptied_services(&self, emptied: &EmptiedHalls) -> BTreeSet<String> {
-        let book = self.book.borrow();
+    /// Services whose usable targets are all in evacuated halls.
+    pub(super) fn evacuated_services(&self, evacuated: &EmptiedHalls) -> BTreeSet<String> {
+        let registry = self.registry.borrow();
         let services = |is_inside: bool| -> BTreeSet<&str> {
-            let targets = book.usable();
-            let there = targets.filter(|target| emptied.contains(&target.hall) == is_inside);
+            let targets = registry.usable();
+            let there = targets.filter(|target| evacuated.contains(&target.hall) == is_inside);
             there.map(|target| target.service.as_str()).collect()
         };
         let missing = &services(true) - &services(false);
--- a/crates/gateway/src/rollouts/mod.rs
+++ b/crates/gateway/src/rollouts/mod.rs
@@ -1,14 +1,14 @@
-//! Roll-outs of versions as this entry takes part in them.
+//! Roll-outs of versions, as seen by this entry.
 //!
-//! Orders come with the view. One entry leads each roll-out ([`lead`]); every entry draws
-//! the version of each request by the phase that the leader tells, counts how the targets
-//! of both versions answer, and reports that to the leader. An entry that hasn't heard from
-//! the leader for [`LEADER_LOST_MS`] sends nothing to the new version. What an entry that
-//! starts later has to know lies in the store ([`orders::Recorded`]).
-
-mod lead;
+//! Orders arrive with the view. One entry leads each roll-out ([`leader`]); every entry
+//! draws the version of each request according to the leader's phase, counts the outcomes
+//! at targets of both versions and reports them to the leader. An entry without contact to
+//! the leader for [`LEADER_LOST_MS`] sends nothing to the new version. Verdicts are stored
+//! for entries that start later ([`orders::RecordedPhase`]).
+
+mod active;
+mod leader;
 mod messages;
-mod ongoing;
 mod orders;
 
 use std::cell::RefCell;
@@ -30,54 +30,53 @@
 use crate::view::View;
 
 pub use self::messages::{RolloutReport, ToldPhase};
-pub use self::orders::{Orders, PlacedOrder, Recorded, Records, PREFIX};
+pub use self::orders::{Orders, PlacedOrder, RecordedPhase, Records, PREFIX};
 
-use self::ongoing::Ongoing;
+use self::active::ActiveRollout;
 
-/// Between two looks at the roll-outs under way.
+/// Interval between checks of the active roll-outs.
 const TICK: Duration = Duration::from_millis(250);
-/// Between two reports of an entry that has counted something since the last one, in
-/// milliseconds, and of one that hasn't.
-const REPORT_NEWS_MS: Millis = 500;
-const REPORT_MS: Millis = 1_000;
-/// How long an entry goes by the word of a leader that it doesn't hear, in milliseconds:
-/// some reports of its own, and the time in which another entry takes over.
+/// Report intervals of an entry with and without new observations, in milliseconds.
+const ACTIVE_REPORT_MS: Millis = 500;
+const IDLE_REPORT_MS: Millis = 1_000;
+/// Time without contact after which the leader counts as lost, in milliseconds: several
+/// reports, and the time for another entry to take over.
 const LEADER_LOST_MS: Millis = 3_000;
-/// Part of the requests that a version on trial may get which the canary gets: draws vary,
-/// and more follows before the verdict.
-const CANARY_PART: f64 = 0.5;
-/// How long after its start an entry may know a part of the targets only, in milliseconds.
-const TARGETS_READ_MS: Millis = 5_000;
-/// Verdicts that wait for control at most.
-const MOST_WAITING: usize = 64;
-
-/// What a leader has written to the store.
+/// Share of the exposure bound that the canary phase uses: draws vary, and more requests
+/// follow before the verdict.
+const CANARY_SHARE_OF_BOUND: f64 = 0.5;
+/// Time after startup within which the list of targets may be incomplete, in milliseconds.
+const TARGETS_KNOWN_MS: Millis = 5_000;
+/// Capacity of the queue of phases to be written.
+const MAX_QUEUED_PHASES: usize = 64;
+
+/// A request to the control thread to write a phase to the store.
 pub struct RecordPhase {
     pub placed: PlacedOrder,
     pub phase: Phase,
-    /// Gets the phase that lies there now: a verdict of another leader stands.
+    /// Receives the phase stored afterwards, which may be another leader's verdict.
     pub reply: oneshot::Sender<Phase>,
 }
 
-/// Where control takes what leaders have written.
+/// Receiving end of the channel, for the control thread.
 pub type ToRecord = mpsc::Receiver<RecordPhase>;
 
-/// The way from leaders to control, which writes their phases to the store.
+/// Channel from leaders to the control thread, which writes their phases to the store.
 pub fn to_store() -> (mpsc::Sender<RecordPhase>, ToRecord) {
-    mpsc::channel(MOST_WAITING)
+    mpsc::channel(MAX_QUEUED_PHASES)
 }
 
-/// A request's version, while its service has a roll-out.
+/// Version drawn for a request whose service has a roll-out.
 #[derive(Debug, Clone)]
 pub struct Draw {
     pub arm: Arm,
-    /// The other version may serve it where this one can't.
+    /// The other version may serve the request if this one can't.
     pub has_other: bool,
     version: String,
 }
 
 impl Draw {
-    /// The versions that a desk may name a target of.
+    /// Versions that a scheduler may choose a target of.
     pub fn versions(&self) -> Versions {
         match self.arm {
             Arm::New => Versions::Only(self.version.clone()),
@@ -85,12 +84,12 @@
         }
     }
 
-    /// True when a target runs the version that was drawn.
+    /// True if a target runs the version drawn.
     pub fn fits(&self, target: &Target) -> bool {
         self.versions().allow(&target.record.version)
     }
 
-    /// The same for the other version.
+    /// The draw of the other version.
     pub fn other(&self) -> Self {
         Draw {
             arm: match self.arm {
@@ -103,49 +102,46 @@
     }
 }
 
-/// The roll-outs that this entry knows, by the services' names.
+/// The roll-outs known to this entry, by service.
 pub struct Rollouts {
-    by_service: RefCell<BTreeMap<String, Rc<Ongoing>>>,
+    by_service: RefCell<BTreeMap<String, Rc<ActiveRollout>>>,
     to_store: mpsc::Sender<RecordPhase>,
-    /// Told when a roll-out begins.
-    begun: Notify,
+    /// Notified when a roll-out starts.
+    started: Notify,
 }
 
 impl Rollouts {
-    /// None yet; `to_store` is the way to control.
     pub fn new(to_store: mpsc::Sender<RecordPhase>) -> Self {
         Rollouts {
             by_service: RefCell::default(),
             to_store,
-            begun: Notify::new(),
+            started: Notify::new(),
         }
     }
 
-    /// Takes the orders and records of a new view.
+    /// Applies the orders and recorded verdicts of a new view.
     pub fn take(&self, cx: &Rc<Traffic>, view: &View) {
         for placed in &view.orders {
-            self.take_order(cx, placed);
+            self.apply_order(cx, placed);
         }
-        self.take_withdrawn(cx, &view.orders);
-        for ongoing in self.all() {
-            let recorded = view.rollout_records.get(ongoing.service());
-            let verdict = recorded.filter(|recorded| recorded.order == ongoing.placed.at);
+        self.apply_withdrawals(cx, &view.orders);
+        for active in self.all() {
+            let recorded = view.rollout_records.get(active.service());
+            let verdict = recorded.filter(|recorded| recorded.order == active.placed.at);
             if let Some(verdict) = verdict.filter(|verdict| verdict.phase.is_final()) {
-                self.enter(cx, &ongoing, verdict.phase, "store");
+                self.enter(cx, &active, verdict.phase, "store");
             }
         }
     }
 
-    fn take_order(&self, cx: &Rc<Traffic>, placed: &PlacedOrder) {
+    fn apply_order(&self, cx: &Rc<Traffic>, placed: &PlacedOrder) {
         let service = &placed.order.service;
         let known = self.by_service.borrow().get(service).cloned();
         if known.is_some_and(|known| known.placed.at >= placed.at) {
             return;
         }
-        let ongoing = Rc::new(Ongoing::new(placed.clone(), cx.clock.now()));
-        self.by_service
-            .borrow_mut()
-            .insert(service.clone(), ongoing);
+        let active = Rc::new(ActiveRollout::new(placed.clone(), cx.clock.now()));
+        self.by_service.borrow_mut().insert(service.clone(), active);
         cx.log.line(
             events::ROLLOUT_ORDERED,
             format_args!(
@@ -155,213 +151,218 @@
                 placed.at
             ),
         );
-        self.begun.notify_one();
+        self.started.notify_one();
     }
 
-    /// A roll-out whose order was withdrawn before its verdict is taken back. It is
-    /// forgotten once no target of its version is left.
-    fn take_withdrawn(&self, cx: &Rc<Traffic>, orders: &[PlacedOrder]) {
-        for ongoing in self.all() {
-            let stands = |placed: &PlacedOrder| placed.order.service == ongoing.service();
-            if orders.iter().any(stands) {
+    /// Rolls back roll-outs whose order was withdrawn before the verdict, and removes them
+    /// once no target of their version is left.
+    fn apply_withdrawals(&self, cx: &Rc<Traffic>, orders: &[PlacedOrder]) {
+        for active in self.all() {
+            let matches_service = |placed: &PlacedOrder| placed.order.service == active.service();
+            if orders.iter().any(matches_service) {
                 continue;
             }
-            if !ongoing.phase().is_final() {
-                self.enter(cx, &ongoing, Phase::RolledBack, "withdrawn");
+            if !active.phase().is_final() {
+                self.enter(cx, &active, Phase::RolledBack, "withdrawn");
             }
-            if !has_targets(cx, &ongoing, Arm::New) {
-                self.by_service.borrow_mut().remove(ongoing.service());
+            if !has_targets(cx, &active, Arm::New) {
+                self.by_service.borrow_mut().remove(active.service());
             }
         }
     }
 
-    fn all(&self) -> Vec<Rc<Ongoing>> {
+    fn all(&self) -> Vec<Rc<ActiveRollout>> {
         self.by_service.borrow().values().cloned().collect()
     }
 
-    fn of(&self, service: &str) -> Option<Rc<Ongoing>> {
+    fn of(&self, service: &str) -> Option<Rc<ActiveRollout>> {
         self.by_service.borrow().get(service).cloned()
     }
 
-    /// A phase begins, here at once.
-    fn enter(&self, cx: &Rc<Traffic>, ongoing: &Rc<Ongoing>, phase: Phase, by: &str) {
-        let before = ongoing.phase();
-        if !ongoing.enter(phase) {
+    /// Enters a phase at this entry and publishes the targets again.
+    fn enter(&self, cx: &Rc<Traffic>, active: &Rc<ActiveRollout>, phase: Phase, by: &str) {
+        let before = active.phase();
+        if !active.enter(phase) {
             return;
         }
         cx.log.line(
             events::ROLLOUT_PHASE,
             format_args!(
                 "service={} version={} order={} phase={} before={} by={by} elapsed_ms={}",
-                ongoing.service(),
-                ongoing.placed.order.version,
-                ongoing.placed.at,
+                active.service(),
+                active.placed.order.version,
+                active.placed.at,
                 phase.name(),
                 before.name(),
-                ongoing.elapsed_ms(cx.clock.now()),
+                active.elapsed_ms(cx.clock.now()),
             ),
         );
         cx.pass_targets_on();
     }
 
-    /// Draws the version of a request; `None` where its service has no roll-out.
+    /// Draws the version of a request; `None` if its service has no roll-out.
     pub fn draw(&self, cx: &Traffic, service: &str, is_first_send: bool) -> Option<Draw> {
-        let ongoing = self.of(service)?;
-        let phase = phase_for(cx, &ongoing, has_targets(cx, &ongoing, Arm::Old));
+        let active = self.of(service)?;
+        let phase = phase_for(cx, &active, has_targets(cx, &active, Arm::Old));
         let share = canary_share(cx);
         let arm = Arm::draw(phase, share, is_first_send, rand::rng().random());
         Some(Draw {
             arm,
             has_other: arm == Arm::New && phase != Phase::Completed,
-            version: ongoing.placed.order.version.clone(),
+            version: active.placed.order.version.clone(),
         })
     }
 
-    /// Those of a service's targets that take requests: of a version on trial only some.
+    /// Targets of a service that may get requests; only some of those of a version on
+    /// trial.
     pub fn in_use(&self, cx: &Traffic, service: &str, targets: &[Rc<Target>]) -> Vec<Rc<Target>> {
-        let Some(ongoing) = self.of(service) else {
+        let Some(active) = self.of(service) else {
             return targets.to_vec();
         };
         let share = canary_share(cx);
-        let (new, old) = split(&ongoing, targets);
-        let phase = phase_for(cx, &ongoing, !old.is_empty());
-        let some = some_of(new, |count| phase.targets_in_use(share, count));
-        match phase == Phase::Completed && !some.is_empty() {
-            true => some,
-            false => [old, some].concat(),
+        let (new, old) = split(&active, targets);
+        let phase = phase_for(cx, &active, !old.is_empty());
+        let chosen = choose_some(new, |count| phase.targets_in_use(share, count));
+        match phase == Phase::Completed && !chosen.is_empty() {
+            true => chosen,
+            false => [old, chosen].concat(),
         }
     }
 
-    /// The same where whichever target is free takes the next call, so that shares go by
-    /// the number of targets.
+    /// The same for a pull queue, where any free target takes the next call and shares
+    /// follow the number of targets.
     pub fn in_use_by_count(
         &self,
         cx: &Traffic,
         service: &str,
         targets: &[Rc<Target>],
     ) -> Vec<Rc<Target>> {
-        let Some(ongoing) = self.of(service) else {
+        let Some(active) = self.of(service) else {
             return targets.to_vec();
         };
-        let (new, old) = split(&ongoing, targets);
-        let phase = phase_for(cx, &ongoing, !old.is_empty());
+        let (new, old) = split(&active, targets);
+        let phase = phase_for(cx, &active, !old.is_empty());
         let share = phase.share(canary_share(cx));
         if share >= 1.0 && !new.is_empty() {
             return new;
         }
-        let beside = old.len() as f64 * share / (1.0 - share).max(f64::EPSILON);
+        let proportional = old.len() as f64 * share / (1.0 - share).max(f64::EPSILON);
         let at_least = usize::from(share > 0.0);
-        let some = some_of(new, |count| (beside as usize).max(at_least).min(count));
-        [old, some].concat()
+        let chosen = choose_some(new, |count| {
+            (proportional as usize).max(at_least).min(count)
+        });
+        [old, chosen].concat()
     }
 
-    /// Takes what came of a request at a target. Counts only while the service's roll-out
-    /// has no verdict.
+    /// Counts the outcome of a request at a target, as long as its service's roll-out has
+    /// no verdict.
     pub fn observe(&self, kind: &str, target: &Target, outcome: Outcome) {
         let service = &target.record.service;
-        let Some(ongoing) = self.of(service).filter(|known| !known.phase().is_final()) else {
+        let Some(active) = self.of(service).filter(|known| !known.phase().is_final()) else {
             return;
         };
-        let arm = ongoing.arm_of(target);
-        ongoing.observe(kind, arm, target, outcome);
+        let arm = active.arm_of(target);
+        active.observe(kind, arm, target, outcome);
         metrics::count_rollout_answer(service, arm, outcome);
     }
 
-    /// Looks at the roll-outs under way until the thread ends.
+    /// Advances active roll-outs until the thread ends.
     pub async fn follow(cx: Rc<Traffic>) {
         loop {
             let rollouts = &cx.rollouts;
             let all = rollouts.all();
-            if all.iter().all(|ongoing| ongoing.is_over()) {
-                rollouts.begun.notified().await;
+            if all.iter().all(|active| active.is_over()) {
+                rollouts.started.notified().await;
             }
-            for ongoing in rollouts.all() {
-                rollouts.look(&cx, &ongoing);
+            for active in rollouts.all() {
+                rollouts.tick(&cx, &active);
             }
             tokio::time::sleep(TICK).await;
         }
     }
 
-    fn look(&self, cx: &Rc<Traffic>, ongoing: &Rc<Ongoing>) {
-        if ongoing.is_over() || !cx.peers.is_listed() {
+    fn tick(&self, cx: &Rc<Traffic>, active: &Rc<ActiveRollout>) {
+        if active.is_over() || !cx.peers.is_listed() {
             return;
         }
-        match owner_of(cx, ongoing) {
-            Owner::Me => self.lead(cx, ongoing),
+        match leader_of(cx, active) {
+            Owner::Me => self.lead(cx, active),
             Owner::Peer(link) => {
-                ongoing.follows();
-                self.have_phase_in_use_passed_on(cx, ongoing);
-                if ongoing.is_report_due(cx.clock.now()) {
-                    let report = ongoing.report(cx);
+                active.stop_leading();
+                self.refresh_phase_in_use(cx, active);
+                if active.is_report_due(cx.clock.now()) {
+                    let report = active.report(cx);
                     link.send(Message::RolloutReport(Box::new(report)));
                 }
             }
         }
     }
 
-    /// Queues and desks take the targets anew where the leader was lost, or is heard again.
-    fn have_phase_in_use_passed_on(&self, cx: &Rc<Traffic>, ongoing: &Ongoing) {
-        if ongoing.changes_phase_in_use(cx) {
+    /// Publishes the targets again when the leader was lost or is back, so that queues and
+    /// schedulers follow the phase in use.
+    fn refresh_phase_in_use(&self, cx: &Rc<Traffic>, active: &ActiveRollout) {
+        if active.update_phase_in_use(cx) {
             cx.pass_targets_on();
         }
     }
 
-    /// The leader tells which phase is in force. A larger share is taken only from the
-    /// entry that leads by this entry's own view.
-    pub fn told(&self, cx: &Rc<Traffic>, from: PeerId, told: &ToldPhase) {
-        let ongoing = self.of(&told.service);
-        let Some(ongoing) = ongoing.filter(|known| known.placed.at == told.order) else {
-            // The order itself comes with a view.
+    /// Handles a phase sent by a leader. A larger share is accepted only from the entry
+    /// that leads according to this entry's view.
+    pub fn told(&self, cx: &Rc<Traffic>, from: PeerId, notice: &ToldPhase) {
+        let active = self.of(&notice.service);
+        let Some(active) = active.filter(|known| known.placed.at == notice.order) else {
+            // The order arrives with a view.
             return;
         };
-        let is_leader = match owner_of(cx, &ongoing) {
+        let is_leader = match leader_of(cx, &active) {
             Owner::Me => false,
             Owner::Peer(link) => link.peer.id == from,
         };
         if is_leader {
-            ongoing.heard_leader(cx.clock.now(), told.elapsed_ms);
+            active.record_leader_contact(cx.clock.now(), notice.elapsed_ms);
         }
         let share = |phase: Phase| phase.share(canary_share(cx));
-        let is_less = share(told.phase) < share(ongoing.phase());
-        if is_leader || is_less || told.phase.is_final() {
-            self.enter(cx, &ongoing, told.phase, "leader");
+        let is_less = share(notice.phase) < share(active.phase());
+        if is_leader || is_less || notice.phase.is_final() {
+            self.enter(cx, &active, notice.phase, "leader");
         }
     }
 
-    /// An entry reports what it has seen.
+    /// Handles a report of a peer and replies with the phase if this entry leads.
     pub fn reported(&self, cx: &Rc<Traffic>, from: &PeerRecord, report: RolloutReport) {
-        let ongoing = self.of(&report.service);
-        let Some(ongoing) = ongoing.filter(|known| known.placed.at == report.order) else {
+        let active = self.of(&report.service);
+        let Some(active) = active.filter(|known| known.placed.at == report.order) else {
             return;
         };
-        let told = ongoing.tells(cx.clock.now());
-        ongoing.take_report(cx.clock.now(), from.id, report);
-        if matches!(owner_of(cx, &ongoing), Owner::Me) {
-            cx.peers.link_to(cx, from).send(Message::RolloutPhase(told));
+        let notice = active.phase_notice(cx.clock.now());
+        active.store_report(cx.clock.now(), from.id, report);
+        if matches!(leader_of(cx, &active), Owner::Me) {
+            cx.peers
+                .link_to(cx, from)
+                .send(Message::RolloutPhase(notice));
         }
     }
 
-    /// Tells every other entry the phase in force.
-    fn tell_all(&self, cx: &Rc<Traffic>, ongoing: &Ongoing) {
-        let told = ongoing.tells(cx.clock.now());
+    /// Broadcasts the phase in force to all other entries.
+    fn broadcast_phase(&self, cx: &Rc<Traffic>, active: &ActiveRollout) {
+        let notice = active.phase_notice(cx.clock.now());
         for link in cx.peers.links_to_all(cx) {
-            link.send(Message::RolloutPhase(told.clone()));
+            link.send(Message::RolloutPhase(notice.clone()));
         }
     }
 }
 
 /// The entry that leads a roll-out.
-fn owner_of(cx: &Rc<Traffic>, ongoing: &Ongoing) -> Owner {
-    let name = format!("rollout/{}", ongoing.service());
+fn leader_of(cx: &Rc<Traffic>, active: &ActiveRollout) -> Owner {
+    let name = format!("rollout/{}", active.service());
     cx.peers.owner_of(cx, &name)
 }
 
-/// The phase by which requests are drawn. Without any target of the old version there is
-/// nothing to compare with, and nothing else to serve by; shortly after the start some just
-/// aren't known yet.
-fn phase_for(cx: &Traffic, ongoing: &Ongoing, has_old: bool) -> Phase {
-    let phase = ongoing.phase_in_use(cx);
-    let is_alone = !has_old && cx.clock.now() >= TARGETS_READ_MS;
+/// Phase by which requests are drawn. Without targets of the old version it is `Full`,
+/// unless the list of targets may still be incomplete.
+fn phase_for(cx: &Traffic, active: &ActiveRollout, has_old: bool) -> Phase {
+    let phase = active.phase_in_use(cx);
+    let is_alone = !has_old && cx.clock.now() >= TARGETS_KNOWN_MS;
     match is_alone && !phase.is_final() {
         true => Phase::Full,
         false => phase,
@@ -369,17 +370,17 @@
 }
 
 fn canary_share(cx: &Traffic) -> f64 {
-    cx.settings().bounds.exposure_share * CANARY_PART
+    cx.settings().bounds.exposure_share * CANARY_SHARE_OF_BOUND
 }
 
-/// Targets of the new version, and all others.
-fn split(ongoing: &Ongoing, targets: &[Rc<Target>]) -> (Vec<Rc<Target>>, Vec<Rc<Target>>) {
+/// Splits targets into those of the new version and all others.
+fn split(active: &ActiveRollout, targets: &[Rc<Target>]) -> (Vec<Rc<Target>>, Vec<Rc<Target>>) {
     let targets = targets.iter().cloned();
-    targets.partition(|target| ongoing.arm_of(target) == Arm::New)
+    targets.partition(|target| active.arm_of(target) == Arm::New)
 }
 
-/// Some of the targets, the same at all entries that know the same ones.
-fn some_of(mut targets: Vec<Rc<Target>>, count: impl Fn(usize) -> usize) -> Vec<Rc<Target>> {
+/// Chooses some of the targets, the same at all entries that know the same ones.
+fn choose_some(mut targets: Vec<Rc<Target>>, count: impl Fn(usize) -> usize) -> Vec<Rc<Target>> {
     let most = count(targets.len());
     if most < targets.len() {
         targets.sort_by_cached_key(|target| rendezvous::score("rollout", &target.incarnation().id));
@@ -388,8 +389,8 @@
     targets
 }
 
-fn has_targets(cx: &Traffic, ongoing: &Ongoing, arm: Arm) -> bool {
-    cx.with_targets(ongoing.service(), |targets| {
-        targets.iter().any(|target| ongoing.arm_of(target) == arm)
+fn has_targets(cx: &Traffic, active: &ActiveRollout, arm: Arm) -> bool {
+    cx.with_targets(active.service(), |targets| {
+        targets.iter().any(|target| active.arm_of(target) == arm)
     })
 }
--- a/crates/gateway/src/rollouts/orders.rs
+++ b/crates/gateway/src/rollouts/orders.rs
@@ -1,4 +1,4 @@
-//! The operators' orders to roll versions out, and the verdicts that lie in the store.
+//! The operators' orders to roll versions out, and the phases recorded in the store.
 
 use std::collections::BTreeMap;
 
@@ -7,41 +7,41 @@
 use hollowsail_rollout::Phase;
 use serde::{Deserialize, Serialize};
 
-/// Prefix of the store's keys under which the leaders of roll-outs write; the rest of a key
-/// is the service.
+/// Prefix of the keys that leaders of roll-outs write, followed by the service's name.
 pub const PREFIX: &str = "hollowsail/rollouts/";
 
-/// An order, and where it stands in the store: two orders may say the same.
+/// An order and its position in the store. The position distinguishes orders with equal
+/// contents.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacedOrder {
     pub order: RolloutOrder,
     pub at: Position,
 }
 
-/// The newest order for each service, by the services' names.
+/// The newest order for each service.
 #[derive(Debug, Clone, Default)]
 pub struct Orders {
     by_service: BTreeMap<String, PlacedOrder>,
 }
 
 impl Orders {
-    /// Takes all orders that the store lists as of a position. One of an older era may be
-    /// lost rather than withdrawn, and stays. True when the orders changed.
-    pub fn take_list(&mut self, as_of: Position, listed: Vec<PlacedOrder>) -> bool {
+    /// Applies the complete list as of a position. A missing order of an older epoch may
+    /// have been lost rather than withdrawn, and stays. Returns true if the orders changed.
+    pub fn apply_list(&mut self, as_of: Position, listed: Vec<PlacedOrder>) -> bool {
         let before = self.by_service.len();
         let is_listed =
             |service: &String| listed.iter().any(|placed| placed.order.service == *service);
         self.by_service
             .retain(|service, known| known.at.era < as_of.era || is_listed(service));
         let withdrawn = before != self.by_service.len();
-        let mut is_news = false;
+        let mut is_new = false;
         for placed in listed {
-            is_news |= self.put(placed);
+            is_new |= self.put(placed);
         }
-        withdrawn || is_news
+        withdrawn || is_new
     }
 
-    /// Takes one order. True when it is newer than the one known for its service.
+    /// Applies one order. Returns true if it is newer than the known one for its service.
     pub fn put(&mut self, placed: PlacedOrder) -> bool {
         let service = &placed.order.service;
         let known = self.by_service.get(service);
@@ -52,27 +52,27 @@
         is_newer
     }
 
-    /// The order for a service was withdrawn at a position. True when that is news.
+    /// Withdraws the order for a service as of a position. Returns true if the orders
+    /// changed.
     pub fn withdraw(&mut self, service: &str, at: Position) -> bool {
         let known = self.by_service.get(service);
         let is_newer = known.is_some_and(|known| known.at < at);
         is_newer && self.by_service.remove(service).is_some()
     }
 
-    /// All of them.
     pub fn all(&self) -> Vec<PlacedOrder> {
         self.by_service.values().cloned().collect()
     }
 }
 
-/// What a leader wrote on the order for a service.
+/// Phase that a leader wrote for an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Recorded {
-    /// The order that it is of.
+pub struct RecordedPhase {
+    /// Position of the order.
     pub order: Position,
     /// [`Phase::Waiting`] until there is a verdict.
     pub phase: Phase,
 }
 
-/// What leaders wrote, by the services' names.
-pub type Records = BTreeMap<String, Recorded>;
+/// Recorded phases by service.
+pub type Records = BTreeMap<String, RecordedPhase>;
--- a/crates/gateway/tests/suite/emptied.rs
+++ b/crates/gateway/tests/suite/evacuated_halls.rs
@@ -1,4 +1,4 @@
-//! Halls that the operators empty: their targets get nothing new.
+//! Halls that operators evacuate: their targets get no new work.
 
 use std::time::{Duration, Instant};
 
@@ -11,7 +11,7 @@
     eventually, gateway, gateway_at, plain_deployment, settings, until_entries, Call,
 };
 
-/// Requests by which a hall shows that it gets none.
+/// Requests that must all avoid a hall.
 const TRIES: usize = 12;
 
 /// A plain target in each of two halls.
@@ -33,16 +33,16 @@
         Halls { store, a, b }
     }
 
-    fn empty(&self, hall: &str) {
+    fn evacuate(&self, hall: &str) {
         self.store.put(&format!("op/evacuate/{hall}"), b"{}");
     }
 
-    fn take_back(&self, hall: &str) {
+    fn reinstate(&self, hall: &str) {
         self.store.delete(&format!("op/evacuate/{hall}"));
     }
 }
 
-/// Sends requests until one is answered by a target.
+/// Sends requests until the named target serves one.
 async fn until_served_by(gateway: &Running, name: &str) {
     for _ in 0..400 {
         if Call::new("GET", "/a/").send(gateway.at.callers).await.body == name {
@@ -53,7 +53,7 @@
     panic!("target {name} never served");
 }
 
-/// Expects all of some requests to be served by one target.
+/// Expects the named target to serve all of [`TRIES`] requests.
 async fn expect_only(gateway: &Running, name: &str) {
     for _ in 0..TRIES {
         let got = Call::new("GET", "/a/").send(gateway.at.callers).await;
@@ -62,34 +62,34 @@
 }
 
 #[actix_rt::test]
-async fn an_emptied_hall_gets_nothing_until_it_is_taken_back() {
+async fn evacuated_hall_is_unused_until_reinstated() {
     let halls = Halls::start().await;
     let gateway = gateway(&halls.store, "host-1", "hall-a").await;
     until_served_by(&gateway, "a").await;
-    halls.empty("hall-a");
+    halls.evacuate("hall-a");
     tokio::time::sleep(Duration::from_millis(500)).await;
     expect_only(&gateway, "b").await;
-    halls.take_back("hall-a");
+    halls.reinstate("hall-a");
     until_served_by(&gateway, "a").await;
 }
 
 #[actix_rt::test]
-async fn another_hall_may_be_emptied_as_the_first_is_taken_back() {
+async fn evacuation_moves_to_another_hall() {
     let halls = Halls::start().await;
     let gateway = gateway(&halls.store, "host-1", "hall-a").await;
     until_served_by(&gateway, "a").await;
-    halls.empty("hall-a");
+    halls.evacuate("hall-a");
     tokio::time::sleep(Duration::from_millis(500)).await;
-    halls.empty("hall-b");
-    halls.take_back("hall-a");
+    halls.evacuate("hall-b");
+    halls.reinstate("hall-a");
     until_served_by(&gateway, "a").await;
     expect_only(&gateway, "a").await;
 }
 
 #[actix_rt::test]
-async fn a_host_that_starts_serves_nothing_in_an_emptied_hall() {
+async fn new_entry_avoids_evacuated_hall() {
     let halls = Halls::start().await;
-    halls.empty("hall-a");
+    halls.evacuate("hall-a");
     let gateway = gateway(&halls.store, "host-1", "hall-a").await;
     until_served_by(&gateway, "b").await;
     expect_only(&gateway, "b").await;
@@ -97,30 +97,30 @@
 }
 
 #[actix_rt::test]
-async fn a_host_that_the_store_turns_away_hears_of_it_from_peers() {
+async fn evacuation_is_learned_from_peers() {
     let halls = Halls::start().await;
     let door = halls.store.door().await;
     let _other = gateway(&halls.store, "host-1", "hall-a").await;
-    let turned_away = gateway_at(settings("host-2", "hall-a", door.addr)).await;
+    let cut_off = gateway_at(settings("host-2", "hall-a", door.addr)).await;
     until_entries("both entries", &halls.store, 2).await;
-    until_served_by(&turned_away, "a").await;
+    until_served_by(&cut_off, "a").await;
     door.set_mode(StoreMode::Refusing);
-    halls.empty("hall-a");
-    // Two renewals of its lease, and a question to its peer.
+    halls.evacuate("hall-a");
+    // Two renewals of the lease, and a query to the peer.
     tokio::time::sleep(Duration::from_millis(3_500)).await;
-    expect_only(&turned_away, "b").await;
-    halls.take_back("hall-a");
-    until_served_by(&turned_away, "a").await;
+    expect_only(&cut_off, "b").await;
+    halls.reinstate("hall-a");
+    until_served_by(&cut_off, "a").await;
 }
 
 #[actix_rt::test]
-async fn history_that_is_gone_hides_no_emptied_hall() {
+async fn evacuation_survives_lost_history() {
     let halls = Halls::start().await;
     let gateway = gateway(&halls.store, "host-1", "hall-a").await;
     until_served_by(&gateway, "a").await;
-    halls.empty("hall-b");
-    halls.take_back("hall-b");
-    halls.empty("hall-a");
+    halls.evacuate("hall-b");
+    halls.reinstate("hall-b");
+    halls.evacuate("hall-a");
     halls.store.forget_history();
     tokio::time::sleep(Duration::from_millis(900)).await;
     expect_only(&gateway, "b").await;
@@ -130,17 +130,17 @@
 }
 
 #[actix_rt::test]
-async fn with_all_halls_emptied_a_request_is_refused_at_once() {
+async fn request_fails_fast_if_all_halls_evacuated() {
     let halls = Halls::start().await;
     let gateway = gateway(&halls.store, "host-1", "hall-a").await;
     until_served_by(&gateway, "a").await;
-    halls.empty("hall-a");
-    halls.empty("hall-b");
+    halls.evacuate("hall-a");
+    halls.evacuate("hall-b");
     tokio::time::sleep(Duration::from_millis(500)).await;
     let before = (halls.a.seen().len(), halls.b.seen().len());
-    let asked = Instant::now();
+    let sent = Instant::now();
     let got = Call::new("GET", "/a/").send(gateway.at.callers).await;
-    assert!(asked.elapsed() < Duration::from_millis(100));
+    assert!(sent.elapsed() < Duration::from_millis(100));
     assert_eq!(got.status, 503);
     assert!(got.body.starts_with("no_target"), "{}", got.body);
     assert!(got.header("Retry-After").is_some());
@@ -148,7 +148,7 @@
 }
 
 #[actix_rt::test]
-async fn pieces_are_made_outside_an_emptied_hall_or_refused_at_once() {
+async fn pieces_fail_fast_if_hall_is_evacuated() {
     let store = StoreStandin::start().await;
     let stages = json!({ "stages": [{ "service": "encoders", "after": [], "bytes": 8000 }] });
     let deployment = DeploymentJson::new(1)
@@ -164,14 +164,14 @@
     let call = Call::new("GET", "/a/")
         .with("X-Pieces", "1")
         .with("X-Piece-Key", "k");
-    let _left = call.begin(gateway.at.callers).await;
+    let _pending = call.begin(gateway.at.callers).await;
     eventually("a call for a piece", || !encoder.seen().is_empty()).await;
     store.put("op/evacuate/hall-a", b"{}");
     tokio::time::sleep(Duration::from_millis(500)).await;
     let before = encoder.seen().len();
-    let asked = Instant::now();
+    let sent = Instant::now();
     let got = call.send(gateway.at.callers).await;
-    assert!(asked.elapsed() < Duration::from_millis(100));
+    assert!(sent.elapsed() < Duration::from_millis(100));
     assert_eq!(got.status, 503);
     assert_eq!(encoder.seen().len(), before);
 }
--- a/crates/gateway/tests/suite/rollouts.rs
+++ b/crates/gateway/tests/suite/rollouts.rs
@@ -1,5 +1,5 @@
-//! Versions that operators roll out: a few requests try them, and those that are worse than
-//! the one before are taken back.
+//! Versions that operators roll out: a few requests try them, and versions that do worse
+//! than the old one are rolled back.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,17 +12,16 @@
 
 use crate::fixture::{eventually, gateway, plain_deployment, Call};
 
-/// Targets of each version.
 const TARGETS: usize = 4;
 
-/// A plain service with targets of two versions; those of the new one come with the order.
+/// A plain service with targets of two versions; the new ones appear with the order.
 struct Site {
     store: StoreStandin,
     old: Vec<TargetStandin>,
     new: Vec<TargetStandin>,
 }
 
-/// A target whose answers begin with its version; each `fails`th is a failure.
+/// Starts a target that answers with its version; every `fails`th request fails.
 async fn target(version: &'static str, fails: usize) -> TargetStandin {
     TargetStandin::start(move |seen| {
         let status = match fails > 0 && seen.before % fails == 0 {
@@ -39,20 +38,20 @@
         let store = StoreStandin::start().await;
         store.put("op/config", &plain_deployment(1, "/a/").bytes());
         let (mut old, mut new) = (Vec::new(), Vec::new());
-        for at in 0..TARGETS {
+        for index in 0..TARGETS {
             old.push(target("v1", 0).await);
             new.push(target("v2", new_fails).await);
-            store.put_version(&format!("old-{at}"), "plain", old[at].addr, "v1");
+            store.put_version(&format!("old-{index}"), "plain", old[index].addr, "v1");
         }
         Site { store, old, new }
     }
 
-    /// Orders the new version, and has its targets come.
+    /// Orders the new version and adds its targets.
     fn order(&self, within_s: f64) {
         self.order_version("v2", within_s);
-        for (at, target) in self.new.iter().enumerate() {
+        for (index, target) in self.new.iter().enumerate() {
             self.store
-                .put_version(&format!("new-{at}"), "plain", target.addr, "v2");
+                .put_version(&format!("new-{index}"), "plain", target.addr, "v2");
         }
     }
 
@@ -64,15 +63,15 @@
         self.store.put("op/rollout/plain", order.as_bytes());
     }
 
-    /// What operators read.
+    /// State and version of the status that operators read.
     fn status(&self) -> Option<(String, String)> {
         let status = self.store.value("status/rollout/plain")?;
-        let status: Value = serde_json::from_slice(&status).expect("it is JSON");
+        let status: Value = serde_json::from_slice(&status).expect("status is JSON");
         let field = |name: &str| status[name].as_str().unwrap_or_default().to_string();
         Some((field("state"), field("target_version")))
     }
 
-    fn is(&self, state: &str) -> bool {
+    fn has_state(&self, state: &str) -> bool {
         self.status().is_some_and(|(known, _)| known == state)
     }
 
@@ -85,12 +84,13 @@
     }
 }
 
-/// Sends requests, some at a time, until `is_over`. Gives how many were sent.
-async fn send_until(gateways: &[&Running], most: Duration, is_over: impl Fn() -> bool) -> usize {
-    let until = Instant::now() + most;
+/// Sends batches of requests until `is_over`, at most for `timeout`. Returns how many were
+/// sent.
+async fn send_until(gateways: &[&Running], timeout: Duration, is_over: impl Fn() -> bool) -> usize {
+    let until = Instant::now() + timeout;
     let sent = Rc::new(Cell::new(0));
     while !is_over() {
-        assert!(Instant::now() < until, "it took longer than {most:?}");
+        assert!(Instant::now() < until, "not reached within {timeout:?}");
         let calls = gateways.iter().flat_map(|gateway| {
             let at = gateway.at.callers;
             (0..4).map(move |_| async move { Call::new("GET", "/a/").send(at).await })
@@ -114,18 +114,18 @@
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    panic!("nothing was served");
+    panic!("no request was served");
 }
 
 #[actix_rt::test]
-async fn a_version_that_fails_gets_few_requests_and_is_taken_back() {
+async fn failing_version_is_rolled_back() {
     let site = Site::start(2).await;
     let gateway = gateway(&site.store, "host-1", "hall-a").await;
     until_served(&gateway).await;
     let before = site.seen_by_old();
     site.order(10.0);
     let sent = send_until(&[&gateway], Duration::from_secs(10), || {
-        site.is("rolled_back")
+        site.has_state("rolled_back")
     })
     .await;
     let to_new = site.seen_by_new();
@@ -136,7 +136,7 @@
     assert!(site.seen_by_old() - before > sent / 2);
     assert_eq!(site.status(), Some(("rolled_back".into(), "v2".into())));
     send_for(&gateway, Duration::from_millis(600)).await;
-    assert_eq!(site.seen_by_new(), to_new, "after it was taken back");
+    assert_eq!(site.seen_by_new(), to_new, "requests after the roll-back");
 }
 
 async fn send_for(gateway: &Running, time: Duration) {
@@ -145,7 +145,7 @@
 }
 
 #[actix_rt::test]
-async fn a_good_version_is_completed_in_time_and_the_old_one_gets_nothing_after() {
+async fn healthy_version_completes_in_time() {
     let site = Site::start(0).await;
     let first = gateway(&site.store, "host-1", "hall-a").await;
     let second = gateway(&site.store, "host-2", "hall-a").await;
@@ -154,80 +154,87 @@
     let ordered = Instant::now();
     site.order(8.0);
     let both = [&first, &second];
-    let completed = || site.is("completed");
+    let completed = || site.has_state("completed");
     send_until(&both, Duration::from_secs(8), completed).await;
     assert!(ordered.elapsed() < Duration::from_secs(8));
     let to_old = site.seen_by_old();
     send_for(&first, Duration::from_millis(300)).await;
     send_for(&second, Duration::from_millis(300)).await;
-    assert_eq!(site.seen_by_old(), to_old, "after it was completed");
+    assert_eq!(
+        site.seen_by_old(),
+        to_old,
+        "requests to the old version after completion"
+    );
     assert!(site.seen_by_new() > 0);
 }
 
 #[actix_rt::test]
-async fn while_a_version_is_on_trial_it_gets_a_small_share() {
+async fn canary_gets_a_small_share() {
     let site = Site::start(0).await;
     let gateway = gateway(&site.store, "host-1", "hall-a").await;
     until_served(&gateway).await;
     site.order(60.0);
-    eventually("it runs", || site.is("running")).await;
+    eventually("the roll-out runs", || site.has_state("running")).await;
     let until = Instant::now() + Duration::from_secs(3);
     let sent = send_until(&[&gateway], Duration::from_secs(9), || {
         Instant::now() > until
     })
     .await;
     let to_new = site.seen_by_new();
-    assert!(to_new > 0, "nothing tries the new version");
+    assert!(to_new > 0, "no request reached the new version");
     assert!(to_new * 10 <= sent + 100, "{to_new} of {sent}");
 }
 
 #[actix_rt::test]
-async fn an_entry_that_starts_later_knows_the_verdict() {
+async fn late_entry_learns_the_verdict() {
     let site = Site::start(1).await;
     let first = gateway(&site.store, "host-1", "hall-a").await;
     until_served(&first).await;
     site.order(10.0);
-    let taken_back = || site.is("rolled_back");
-    send_until(&[&first], Duration::from_secs(10), taken_back).await;
+    let rolled_back = || site.has_state("rolled_back");
+    send_until(&[&first], Duration::from_secs(10), rolled_back).await;
     let to_new = site.seen_by_new();
     let second = gateway(&site.store, "host-2", "hall-a").await;
     until_served(&second).await;
     send_for(&second, Duration::from_millis(1_500)).await;
     assert_eq!(site.seen_by_new(), to_new);
-    assert!(site.is("rolled_back"));
+    assert!(site.has_state("rolled_back"));
 }
 
 #[actix_rt::test]
-async fn an_order_that_is_withdrawn_is_taken_back() {
+async fn withdrawn_order_is_rolled_back() {
     let site = Site::start(0).await;
     let gateway = gateway(&site.store, "host-1", "hall-a").await;
     until_served(&gateway).await;
     site.order(60.0);
-    eventually("it runs", || site.is("running")).await;
+    eventually("the roll-out runs", || site.has_state("running")).await;
     site.store.delete("op/rollout/plain");
-    eventually("it is taken back", || site.is("rolled_back")).await;
+    eventually("the roll-out is rolled back", || {
+        site.has_state("rolled_back")
+    })
+    .await;
     let to_new = site.seen_by_new();
     send_for(&gateway, Duration::from_millis(500)).await;
     assert_eq!(site.seen_by_new(), to_new);
 }
 
 #[actix_rt::test]
-async fn the_next_order_begins_anew() {
+async fn next_order_starts_over() {
     let site = Site::start(1).await;
     let gateway = gateway(&site.store, "host-1", "hall-a").await;
     until_served(&gateway).await;
     site.order(10.0);
-    let taken_back = || site.is("rolled_back");
-    send_until(&[&gateway], Duration::from_secs(10), taken_back).await;
+    let rolled_back = || site.has_state("rolled_back");
+    send_until(&[&gateway], Duration::from_secs(10), rolled_back).await;
     site.order_version("v3", 60.0);
-    eventually("the next one runs", || {
+    eventually("the next roll-out runs", || {
         site.status() == Some(("running".into(), "v3".into()))
     })
     .await;
 }
 
 #[actix_rt::test]
-async fn an_unreadable_order_changes_nothing() {
+async fn malformed_order_is_ignored() {
     let site = Site::start(0).await;
     let gateway = gateway(&site.store, "host-1", "hall-a").await;
     until_served(&gateway).await;
@@ -238,12 +245,12 @@
 }
 
 #[actix_rt::test]
-async fn a_verdict_waits_for_the_store_but_taking_back_does_not() {
+async fn rollback_does_not_wait_for_the_store() {
     let site = Site::start(1).await;
     let gateway = gateway(&site.store, "host-1", "hall-a").await;
     until_served(&gateway).await;
     site.order(20.0);
-    eventually("it runs", || site.is("running")).await;
+    eventually("the roll-out runs", || site.has_state("running")).await;
     send_until(&[&gateway], Duration::from_secs(5), || {
         site.seen_by_new() > 0
     })
@@ -252,26 +259,22 @@
     send_for(&gateway, Duration::from_millis(3_500)).await;
     let to_new = site.seen_by_new();
     send_for(&gateway, Duration::from_millis(800)).await;
-    assert_eq!(
-        site.seen_by_new(),
-        to_new,
-        "it was taken back without the store"
-    );
+    assert_eq!(site.seen_by_new(), to_new, "rolled back without the store");
     site.store.set_mode(StoreMode::Up);
-    eventually("the verdict is written", || site.is("rolled_back")).await;
+    eventually("the verdict is written", || site.has_state("rolled_back")).await;
 }
 
 #[actix_rt::test]
-async fn targets_of_an_unknown_version_wait_for_an_order() {
+async fn unordered_version_is_held_back() {
     let site = Site::start(0).await;
     let gateway = gateway(&site.store, "host-1", "hall-a").await;
     until_served(&gateway).await;
-    // The version before has to have been there for a while.
+    // The old version must have been known for a while.
     tokio::time::sleep(Duration::from_millis(900)).await;
     site.store
         .put_version("new-0", "plain", site.new[0].addr, "v2");
     send_for(&gateway, Duration::from_millis(500)).await;
-    assert_eq!(site.seen_by_new(), 0, "an order may be on its way");
+    assert_eq!(site.seen_by_new(), 0, "an order may still arrive");
     send_until(&[&gateway], Duration::from_secs(4), || {
         site.seen_by_new() > 0
     })
--- a/crates/gateway/tests/suite/truth.rs
+++ b/crates/gateway/tests/suite/store_faults.rs
@@ -1,4 +1,4 @@
-//! Configuration and targets through the store's troubles.
+//! Configuration and targets while the store fails, lags or loses its history.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -15,7 +15,7 @@
     TargetStandin::start(move |seen| vec![Step::Write(answer(seen, 200, body))]).await
 }
 
-/// A gateway that serves a path by one target.
+/// Starts a gateway that serves a path by one target.
 async fn serving(version: u64, prefix: &str) -> (Fixture, TargetStandin) {
     let script = |seen: &Seen| vec![Step::Write(answer(seen, 200, "one"))];
     let (fixture, one) =
@@ -28,7 +28,6 @@
     until_status_at(fixture.gateway.at.callers, path, status).await;
 }
 
-/// Waits until a path is answered with a status.
 async fn until_status_at(at: SocketAddr, path: &str, status: u16) {
     for _ in 0..400 {
         if Call::new("GET", path).send(at).await.status == status {
@@ -36,11 +35,11 @@
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    panic!("{path} was never answered with {status}");
+    panic!("{path} never returned status {status}");
 }
 
 #[actix_rt::test]
-async fn a_new_version_is_in_force_soon_and_an_older_one_never_again() {
+async fn newer_configuration_wins_older_is_ignored() {
     let (fixture, _one) = serving(5, "/old/").await;
     fixture
         .store
@@ -55,7 +54,7 @@
 }
 
 #[actix_rt::test]
-async fn a_configuration_that_cannot_be_read_changes_nothing() {
+async fn malformed_configuration_is_ignored() {
     let (fixture, _one) = serving(5, "/old/").await;
     fixture
         .store
@@ -65,7 +64,7 @@
 }
 
 #[actix_rt::test]
-async fn a_draining_target_gets_nothing_new() {
+async fn draining_target_gets_no_requests() {
     let fixture = Fixture::start(&plain_deployment(1, "/a/")).await;
     let (one, two) = (target("one").await, target("two").await);
     fixture.add("i-1", "plain", &one);
@@ -83,7 +82,7 @@
 }
 
 #[actix_rt::test]
-async fn history_that_is_gone_is_read_anew() {
+async fn lost_history_triggers_a_fresh_read() {
     let (fixture, _one) = serving(1, "/a/").await;
     fixture.store.delete("servers/i-1");
     fixture.store.forget_history();
@@ -112,8 +111,8 @@
     (store, one, two)
 }
 
-/// Expects only the target `i-2` to be used, soon after a start.
-async fn expect_the_newest_target(store: &StoreStandin, gone: &TargetStandin) {
+/// Starts a gateway and expects it to use only the target `i-2`.
+async fn expect_only_newest_target(store: &StoreStandin, gone: &TargetStandin) {
     let gateway = gateway(store, "host-1", "hall-a").await;
     tokio::time::sleep(Duration::from_millis(300)).await;
     let before = gone.seen().len();
@@ -125,9 +124,9 @@
 }
 
 #[actix_rt::test]
-async fn lists_are_read_as_they_were_and_brought_up_to_date_at_once() {
+async fn stale_lists_are_updated_by_the_watch() {
     let (store, one, _two) = store_with_old_reads().await;
-    expect_the_newest_target(&store, &one).await;
+    expect_only_newest_target(&store, &one).await;
     let calls = store.calls();
     let lists = calls.iter().filter(|call| call.contains("kv-range"));
     let (old, fresh): (Vec<_>, Vec<_>) = lists.partition(|call| call.contains("stale_ok=1"));
@@ -137,19 +136,19 @@
         .any(|call| call.contains("path_prefix=hollowsail/")));
     assert!(
         fresh.iter().all(|call| call.contains("path_prefix=op/")),
-        "only the operators' keys, which must never go back: {fresh:?}"
+        "only the operators' keys need a fresh read: {fresh:?}"
     );
 }
 
 #[actix_rt::test]
-async fn an_old_list_without_the_history_since_is_read_anew() {
+async fn stale_list_without_history_is_reread() {
     let (store, one, _two) = store_with_old_reads().await;
     store.forget_history();
-    expect_the_newest_target(&store, &one).await;
+    expect_only_newest_target(&store, &one).await;
 }
 
 #[actix_rt::test]
-async fn targets_are_used_as_soon_as_their_page_of_the_list_is_there() {
+async fn targets_are_used_page_by_page() {
     let store = StoreStandin::start().await;
     store.put("op/config", &plain_deployment(1, "/a/").bytes());
     let one = target("one").await;
@@ -163,11 +162,11 @@
     let calls = store.calls();
     let is_page = |call: &&String| call.contains("kv-range") && call.contains("servers/");
     let pages = calls.iter().filter(is_page).count();
-    assert!(pages <= 4, "{pages} of six pages were asked for");
+    assert!(pages <= 4, "{pages} of six pages were requested");
 }
 
 #[actix_rt::test]
-async fn what_has_gone_does_not_come_back_by_an_old_list() {
+async fn stale_list_revives_no_deleted_target() {
     let (fixture, one) = serving(1, "/a/").await;
     fixture.store.keep_old_reads();
     let two = target("two").await;
@@ -181,7 +180,7 @@
             .filter(|call| call.contains("stale_ok=1"))
             .count()
     };
-    let (seen, read) = (one.seen().len(), old_reads());
+    let (seen_before, reads_before) = (one.seen().len(), old_reads());
     fixture.store.forget_history();
     fixture
         .store
@@ -191,12 +190,12 @@
     for _ in 0..8 {
         assert_eq!(fixture.call(&Call::new("GET", "/b/")).await.body, "two");
     }
-    assert_eq!(one.seen().len(), seen);
-    assert_eq!(old_reads(), read, "the newest is read");
+    assert_eq!(one.seen().len(), seen_before);
+    assert_eq!(old_reads(), reads_before, "no stale read after startup");
 }
 
 #[actix_rt::test]
-async fn targets_whose_records_lapse_in_an_outage_serve_on() {
+async fn records_expired_in_an_outage_stay_in_use() {
     let (fixture, _one) = serving(1, "/a/").await;
     fixture.store.set_mode(StoreMode::Refusing);
     tokio::time::sleep(Duration::from_millis(300)).await;
@@ -207,13 +206,13 @@
     assert_eq!(
         fixture.call(&Call::new("GET", "/a/")).await.status,
         200,
-        "it may come back"
+        "the record may reappear"
     );
     until_status(&fixture, "/a/", 503).await;
 }
 
 #[actix_rt::test]
-async fn it_serves_on_while_the_store_is_silent() {
+async fn silent_store_does_not_stop_requests() {
     let (fixture, _one) = serving(1, "/a/").await;
     fixture.store.set_mode(StoreMode::Silent);
     for _ in 0..10 {
@@ -223,20 +222,20 @@
 }
 
 #[actix_rt::test]
-async fn a_gateway_that_the_store_turns_away_learns_from_its_peers() {
+async fn gateway_without_store_learns_from_peers() {
     for mode in [StoreMode::Refusing, StoreMode::Silent] {
         let fixture = Fixture::start(&plain_deployment(1, "/a/")).await;
         let door = fixture.store.door().await;
-        let away = hollowsail_gateway::start(
+        let cut_off = hollowsail_gateway::start(
             settings("host-2", "hall-b", door.addr),
             Mechanisms::default(),
         )
         .await
-        .expect("it starts");
+        .expect("gateway starts");
         let (one, two) = (target("one").await, target("two").await);
         fixture.add("i-1", "plain", &one);
-        until_status_at(away.at.callers, "/a/", 200).await;
-        until_entries("both are recorded", &fixture.store, 2).await;
+        until_status_at(cut_off.at.callers, "/a/", 200).await;
+        until_entries("both entries are registered", &fixture.store, 2).await;
         tokio::time::sleep(Duration::from_millis(400)).await;
         door.set_mode(mode);
         fixture
@@ -246,40 +245,40 @@
         fixture
             .store
             .put_target("i-1", "plain", one.addr, "hall-a", "draining");
-        until_status_at(away.at.callers, "/b/", 200).await;
+        until_status_at(cut_off.at.callers, "/b/", 200).await;
         tokio::time::sleep(Duration::from_millis(1_000)).await;
         for _ in 0..8 {
-            let got = Call::new("GET", "/b/").send(away.at.callers).await;
+            let got = Call::new("GET", "/b/").send(cut_off.at.callers).await;
             assert_eq!(got.body, "two", "{mode:?}");
         }
     }
 }
 
 #[actix_rt::test]
-async fn a_gateway_that_starts_without_the_store_learns_from_its_seeds() {
-    learns_from_its_seeds(1).await;
+async fn start_without_store_learns_from_seeds() {
+    expect_learned_from_seeds(1).await;
 }
 
 #[actix_rt::test]
-async fn it_learns_a_configuration_of_version_0_too() {
-    learns_from_its_seeds(0).await;
+async fn version_0_is_learned_from_seeds() {
+    expect_learned_from_seeds(0).await;
 }
 
-async fn learns_from_its_seeds(version: u64) {
+async fn expect_learned_from_seeds(version: u64) {
     let (fixture, _one) = serving(version, "/a/").await;
     let door = fixture.store.door().await;
     door.set_mode(StoreMode::Refusing);
-    let mut cold = settings("host-2", "hall-b", door.addr);
-    cold.seeds = vec![fixture.gateway.at.peers];
-    let cold = hollowsail_gateway::start(cold, Mechanisms::default())
+    let mut starting = settings("host-2", "hall-b", door.addr);
+    starting.seeds = vec![fixture.gateway.at.peers];
+    let starting = hollowsail_gateway::start(starting, Mechanisms::default())
         .await
-        .expect("it starts");
-    until_status_at(cold.at.callers, "/a/", 200).await;
-    assert_eq!(ready_status(cold.at.readiness).await, 200);
+        .expect("gateway starts");
+    until_status_at(starting.at.callers, "/a/", 200).await;
+    assert_eq!(ready_status(starting.at.readiness).await, 200);
 }
 
 #[actix_rt::test]
-async fn two_gateways_before_one_store_both_serve() {
+async fn two_gateways_share_one_store() {
     let fixture = Fixture::start(&plain_deployment(1, "/a/")).await;
     let one = target("one").await;
     fixture.add("i-1", "plain", &one);
@@ -289,19 +288,19 @@
 }
 
 #[actix_rt::test]
-async fn one_loop_asks_a_store_that_is_away_whether_it_is_back() {
+async fn only_one_loop_probes_unreachable_store() {
     let (fixture, _one) = serving(5, "/a/").await;
     fixture.store.set_mode(StoreMode::Refusing);
     let before = fixture.store.calls().len();
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     let calls = fixture.store.calls();
-    let asked = |what: &str| {
+    let count = |text: &str| {
         let since = calls[before..].iter();
-        since.filter(|call| call.contains(what)).count()
+        since.filter(|call| call.contains(text)).count()
     };
-    assert!(asked("kv-range?path_prefix=op/") >= 3, "{calls:?}");
-    assert!(asked("kv-range?path_prefix=servers/") <= 1, "{calls:?}");
-    assert!(asked("kv-range?path_prefix=hollowsail/") <= 1, "{calls:?}");
+    assert!(count("kv-range?path_prefix=op/") >= 3, "{calls:?}");
+    assert!(count("kv-range?path_prefix=servers/") <= 1, "{calls:?}");
+    assert!(count("kv-range?path_prefix=hollowsail/") <= 1, "{calls:?}");
     fixture.store.set_mode(StoreMode::Up);
     let two = target("two").await;
     fixture.add("i-2", "plain", &two);
@@ -316,39 +315,42 @@
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    panic!("the others go on once it is back");
+    panic!("the other loops did not resume once the store was reachable");
 }
 
-/// A store that holds nothing, and a gateway before it.
-async fn without_configuration() -> (StoreStandin, Running) {
+/// Starts an empty store and a gateway that uses it.
+async fn start_without_configuration() -> (StoreStandin, Running) {
     let store = StoreStandin::start().await;
     let running = start(
         settings("host-1", "hall-a", store.addr),
         Mechanisms::default(),
     )
     .await
-    .expect("it starts");
+    .expect("gateway starts");
     (store, running)
 }
 
 #[actix_rt::test]
-async fn a_request_waits_a_little_for_the_first_configuration() {
-    let (store, running) = without_configuration().await;
+async fn request_waits_for_first_configuration() {
+    let (store, running) = start_without_configuration().await;
     let at = running.at.callers;
     let early = actix_rt::spawn(async move { Call::new("GET", "/none/").send(at).await });
     tokio::time::sleep(Duration::from_millis(50)).await;
     store.put("op/config", &plain_deployment(1, "/a/").bytes());
-    let got = early.await.expect("it is answered");
-    assert_eq!(got.status, 404, "judged by the configuration: {got:?}");
+    let got = early.await.expect("request task completes");
+    assert_eq!(
+        got.status, 404,
+        "the configuration has no such route: {got:?}"
+    );
 }
 
 #[actix_rt::test]
-async fn a_request_is_refused_soon_when_no_configuration_comes() {
-    let (_store, running) = without_configuration().await;
-    let begun = Instant::now();
+async fn request_without_configuration_gets_503() {
+    let (_store, running) = start_without_configuration().await;
+    let started = Instant::now();
     let got = Call::new("GET", "/a/").send(running.at.callers).await;
     assert_eq!(got.status, 503, "{got:?}");
     assert!(got.body.starts_with("no_configuration"), "{got:?}");
     assert!(got.header("retry-after").is_some());
-    assert!(begun.elapsed() < Duration::from_secs(1));
+    assert!(started.elapsed() < Duration::from_secs(1));
 }
--- a/crates/gateway/tests/suite/reading.rs
+++ b/crates/gateway/tests/suite/store_followers.rs
@@ -1,4 +1,4 @@
-//! A hall of many entries, of which a few read the store for all.
+//! A hall of many entries, a few of which follow the store for all.
 
 use std::time::{Duration, Instant};
 
@@ -12,10 +12,10 @@
 
 /// Entries in the hall.
 const ENTRIES: usize = 9;
-/// Time after which each entry knows who reads.
+/// Time after which every entry knows the store followers.
 const SETTLED: Duration = Duration::from_millis(6_500);
 
-/// Entries of one hall, each with an address of the store for itself.
+/// Entries of one hall, each with its own address of the store.
 struct Hall {
     store: StoreStandin,
     names: Vec<String>,
@@ -30,7 +30,7 @@
         store.put("op/config", &plain_deployment(1, "/v1/").bytes());
         let target = TargetStandin::start(|seen| vec![Step::Write(answer(seen, 200, "one"))]).await;
         store.put_target("i-1", "plain", target.addr, "hall-a", "ready");
-        let names: Vec<String> = (0..ENTRIES).map(|at| format!("host-{at}")).collect();
+        let names: Vec<String> = (0..ENTRIES).map(|index| format!("host-{index}")).collect();
         let (mut doors, mut gateways) = (Vec::new(), Vec::new());
         for name in &names {
             let door = store.door().await;
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Positions of the entries that read.
-    fn readers(&self) -> Vec<usize> {
+    /// Indices of the store followers.
+    fn followers(&self) -> Vec<usize> {
         let entries = self.names.iter().map(|host| Candidate {
             host,
             capacity: 1,
@@ -58,15 +58,15 @@
         readers::choose("hall-a", entries).expect("the hall is large")
     }
 
-    /// Puts a configuration into the store; gives the longest time until an entry, of
-    /// those that aren't left out, serves by it.
+    /// Stores a configuration and returns the time until all entries serve by it, except
+    /// those in `without`.
     async fn configure(&self, version: u64, without: &[usize]) -> Duration {
         let prefix = format!("/v{version}/");
         let put = Instant::now();
         self.store
             .put("op/config", &plain_deployment(version, &prefix).bytes());
-        for (at, gateway) in self.gateways.iter().enumerate() {
-            while !without.contains(&at) && put.elapsed() < Duration::from_secs(8) {
+        for (index, gateway) in self.gateways.iter().enumerate() {
+            while !without.contains(&index) && put.elapsed() < Duration::from_secs(8) {
                 let got = Call::new("GET", &prefix).send(gateway.at.callers).await;
                 if got.status == 200 {
                     break;
@@ -81,7 +81,6 @@
         self.calls("kv-watch")
     }
 
-    /// Calls so far that contain a text.
     fn calls(&self, text: &str) -> usize {
         let calls = self.store.calls();
         calls.iter().filter(|call| call.contains(text)).count()
@@ -89,7 +88,7 @@
 }
 
 #[actix_rt::test]
-async fn few_entries_watch_the_store_and_all_hear_of_changes() {
+async fn few_watches_and_all_entries_get_changes() {
     let hall = Hall::start().await;
     let before = hall.watches();
     tokio::time::sleep(Duration::from_secs(4)).await;
@@ -101,60 +100,60 @@
     tokio::time::sleep(Duration::from_millis(1_200)).await;
     for gateway in &hall.gateways {
         let got = Call::new("GET", "/v2/").send(gateway.at.callers).await;
-        assert_eq!(got.status, 503, "the hall is emptied for all");
+        assert_eq!(got.status, 503, "the hall is evacuated at every entry");
     }
 }
 
 #[actix_rt::test]
-async fn readers_that_the_store_refuses_or_leaves_waiting_are_made_up_for() {
+async fn followers_without_store_are_bypassed() {
     for mode in [StoreMode::Refusing, StoreMode::Silent] {
         let hall = Hall::start().await;
-        let readers = hall.readers();
-        for at in &readers {
-            hall.doors[*at].set_mode(mode);
+        let followers = hall.followers();
+        for index in &followers {
+            hall.doors[*index].set_mode(mode);
         }
-        let took = hall.configure(2, &readers).await;
+        let took = hall.configure(2, &followers).await;
         assert!(took < Duration::from_millis(2_000), "{mode:?}: {took:?}");
-        let took = hall.configure(3, &readers).await;
+        let took = hall.configure(3, &followers).await;
         assert!(
             took < Duration::from_millis(1_200),
-            "{mode:?}, once known: {took:?}"
+            "{mode:?}, after the first change: {took:?}"
         );
     }
 }
 
 #[actix_rt::test]
-async fn one_reader_that_stops_or_hears_nothing_costs_a_second_at_most() {
+async fn lost_follower_delays_changes_by_a_second() {
     let mut hall = Hall::start().await;
-    let readers = hall.readers();
-    hall.doors[readers[0]].set_mode(StoreMode::Silent);
-    let took = hall.configure(2, &readers[..1]).await;
+    let followers = hall.followers();
+    hall.doors[followers[0]].set_mode(StoreMode::Silent);
+    let took = hall.configure(2, &followers[..1]).await;
     assert!(took < Duration::from_millis(1_700), "{took:?}");
-    hall.doors[readers[0]].set_mode(StoreMode::Up);
-    let stopped = hall.gateways.remove(readers[1]);
+    hall.doors[followers[0]].set_mode(StoreMode::Up);
+    let stopped = hall.gateways.remove(followers[1]);
     actix_rt::spawn(stopped.stop());
     let took = hall.configure(3, &[]).await;
     assert!(took < Duration::from_millis(2_000), "{took:?}");
 }
 
-/// A reader's watch hangs on a connection that fell silent, while new ones work at once.
+/// The connection of a follower's watch is silent, while new connections work.
 #[actix_rt::test]
-async fn a_readers_watch_that_fell_silent_is_given_up_in_time() {
+async fn silent_follower_watch_is_abandoned() {
     let hall = Hall::start().await;
-    let reader = hall.readers()[0];
-    hall.doors[reader].set_mode(StoreMode::Silent);
+    let follower = hall.followers()[0];
+    hall.doors[follower].set_mode(StoreMode::Silent);
     tokio::time::sleep(Duration::from_millis(20)).await;
-    hall.doors[reader].set_mode(StoreMode::Up);
+    hall.doors[follower].set_mode(StoreMode::Up);
     let took = hall.configure(2, &[]).await;
     assert!(took < Duration::from_millis(2_000), "{took:?}");
 }
 
-/// A list of several pages costs pages times entries at the store unless a few read it.
+/// Guards against a load on the store of pages times entries.
 #[actix_rt::test]
-async fn after_lost_history_few_entries_read_lists_and_all_have_them() {
+async fn few_entries_read_lists_after_lost_history() {
     let hall = Hall::start().await;
-    for at in 0..8 {
-        let idle = format!("i-idle-{at}");
+    for index in 0..8 {
+        let idle = format!("i-idle-{index}");
         hall.store
             .put_target(&idle, "other", hall._target.addr, "hall-a", "ready");
     }
@@ -171,16 +170,17 @@
     let lost = Instant::now();
     for gateway in &hall.gateways {
         while Call::new("GET", "/v1/").send(gateway.at.callers).await.body != "two" {
-            assert!(lost.elapsed() < Duration::from_secs(3), "one doesn't know");
+            assert!(
+                lost.elapsed() < Duration::from_secs(3),
+                "an entry still uses the deleted target"
+            );
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     }
     tokio::time::sleep(Duration::from_secs(1)).await;
     let lists = hall.calls("kv-range") - lists;
-    // Two readers, with a page of operators' keys, three of entries and four of targets.
-    let of_readers = 2 * (1 + 3 + 4);
-    assert!(
-        lists <= of_readers + 4,
-        "{lists} pages for {ENTRIES} entries"
-    );
+    // Two followers, with one page of operators' keys, three of entries and four of
+    // targets.
+    let expected = 2 * (1 + 3 + 4);
+    assert!(lists <= expected + 4, "{lists} pages for {ENTRIES} entries");
 }
--- a/crates/gateway/tests/suite/starting_again.rs
+++ b/crates/gateway/tests/suite/target_restarts.rs
@@ -1,4 +1,4 @@
-//! Targets that start again under their id, and records that others wrote.
+//! Targets that restart under the same id, and malformed records.
 
 use std::time::Duration;
 
@@ -18,37 +18,36 @@
     Call::new("GET", "/a/x")
 }
 
-/// Its record names the same address, slots and state; it is another process all the same.
+/// Only the incarnation differs: address, slots and state stay the same.
 #[actix_rt::test]
-async fn a_target_that_started_again_between_two_records_gets_new_connections() {
+async fn restarted_target_gets_new_connections() {
     let (fixture, target) = serving().await;
     fixture.call(&call()).await;
-    assert_eq!(target.connections(), 1, "one is used again");
+    assert_eq!(target.connections(), 1, "the connection is reused");
     fixture.store.put_start("i-1", 2_000, "plain", target.addr);
     tokio::time::sleep(Duration::from_millis(300)).await;
     assert!(fixture.call(&call()).await.is_whole);
     assert_eq!(
         target.connections(),
         2,
-        "not the connection of the start before"
+        "the connection to the earlier incarnation is not reused"
     );
 }
 
 #[actix_rt::test]
-async fn word_of_an_earlier_start_changes_nothing() {
+async fn earlier_incarnation_is_ignored() {
     let (fixture, target) = serving().await;
     fixture.store.put_start("i-1", 2_000, "plain", target.addr);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let nobody = TargetStandin::answering("nobody", Duration::ZERO).await;
-    fixture.store.put_start("i-1", 1_000, "plain", nobody.addr);
+    let stale = TargetStandin::answering("nobody", Duration::ZERO).await;
+    fixture.store.put_start("i-1", 1_000, "plain", stale.addr);
     tokio::time::sleep(Duration::from_millis(300)).await;
     assert!(fixture.call(&call()).await.is_whole);
-    assert!(nobody.seen().is_empty());
+    assert!(stale.seen().is_empty());
 }
 
-/// A target whose start was leaving takes work again once it has started anew.
 #[actix_rt::test]
-async fn a_target_that_left_is_used_again_after_it_started_again() {
+async fn drained_target_is_used_after_restart() {
     let (fixture, target) = serving().await;
     fixture
         .store
@@ -59,7 +58,7 @@
 }
 
 #[actix_rt::test]
-async fn what_another_writer_put_over_a_good_record_names_no_target() {
+async fn malformed_record_disables_its_target() {
     let (fixture, target) = serving().await;
     let other = TargetStandin::answering("other", Duration::ZERO).await;
     fixture.store.put_start("i-2", 1_000, "plain", other.addr);
@@ -76,9 +75,13 @@
         tokio::time::sleep(Duration::from_millis(300)).await;
         let before = target.seen().len();
         for _ in 0..6 {
-            assert_eq!(fixture.call(&call()).await.body, "other", "the others hold");
+            assert_eq!(
+                fixture.call(&call()).await.body,
+                "other",
+                "the other target serves"
+            );
         }
-        assert_eq!(target.seen().len(), before, "it gets nothing");
+        assert_eq!(target.seen().len(), before, "the target gets no requests");
     }
     fixture.store.put_start("i-1", 1_000, "plain", target.addr);
     let before = target.seen().len();
@@ -86,13 +89,12 @@
     for _ in 0..12 {
         fixture.call(&call()).await;
     }
-    eventually("it is used again", || target.seen().len() > before).await;
+    eventually("the target is used again", || target.seen().len() > before).await;
 }
 
-/// Others may write there, too: the last good configuration, and what is known of the
-/// entries, stay.
+/// The last good configuration and the known entries stay in use.
 #[actix_rt::test]
-async fn a_configuration_or_an_entrys_record_that_cannot_be_read_changes_nothing() {
+async fn malformed_keys_change_nothing() {
     let (fixture, target) = serving().await;
     let peers = fixture.store.keys("hollowsail/peers/");
     for bytes in [&b"\xff\x00"[..], b"{}", b"null", &[b'['; 4_096]] {
