--- a/crates/gateway/src/control/follow.rs
+++ b/crates/gateway/src/control/follow.rs
@@ -51,9 +51,9 @@
     let mut backoff = Backoff::default();
     let mut allow_stale = keys.allow_stale_start;
     loop {
-        let end = follow_once(&cx, &keys, allow_stale, &mut backoff).await;
+        let result = follow_once(&cx, &keys, allow_stale, &mut backoff).await;
         allow_stale = false;
-        match end {
+        match result {
             Ok(()) => {}
             Err(StoreError::HistoryGone) => cx.delay_in_new_epoch(keys.keys).await,
             Err(err) => {
--- a/crates/gateway/src/control/new_versions.rs
+++ b/crates/gateway/src/control/new_versions.rs
@@ -82,9 +82,9 @@
     }
 }
 
-/// True if an older version was known when a version appeared at `at`.
-fn is_beside_another(versions: &HashMap<String, Millis>, at: Millis, held_ms: Millis) -> bool {
-    versions.values().any(|seen| seen + held_ms <= at)
+/// True if an older version was known when a version appeared at `seen_at`.
+fn is_beside_another(versions: &HashMap<String, Millis>, seen_at: Millis, held_ms: Millis) -> bool {
+    versions.values().any(|seen| seen + held_ms <= seen_at)
 }
 
 impl Control {
--- a/crates/gateway/src/control/settle.rs
+++ b/crates/gateway/src/control/settle.rs
@@ -44,7 +44,7 @@
         R: PartialEq + 'static,
     {
         let known = registry(self).borrow();
-        let Some(at) = known
+        let Some(due) = known
             .settles_at()
             .into_iter()
             .chain(known.outlived_at())
@@ -55,7 +55,7 @@
         drop(known);
         let cx = self.clone();
         actix_rt::spawn(async move {
-            tokio::time::sleep_until(cx.clock.timer(at).into()).await;
+            tokio::time::sleep_until(cx.clock.timer(due).into()).await;
             let now = cx.clock.now();
             let gone = registry(&cx).borrow_mut().settle(now);
             let is_changed = registry(&cx).borrow_mut().take_outlived(now);
--- a/crates/gateway/src/control/usable.rs
+++ b/crates/gateway/src/control/usable.rs
@@ -12,7 +12,7 @@
     /// Targets that may get new work: usable, in no evacuated hall, and of no held version.
     pub(super) fn usable_targets(&self, evacuated: &EmptiedHalls) -> Vec<UsableTarget> {
         let registry = self.registry.borrow();
-        let cold = self.warm_ups.borrow();
+        let warm_ups = self.warm_ups.borrow();
         let new_versions = self.new_versions.borrow();
         let held = new_versions.held(self.clock.now());
         let eligible = registry
@@ -20,7 +20,7 @@
             .filter(|target| !evacuated.contains(&target.hall))
             .filter(|target| !held.contains(&target.service, &target.version));
         let targets = eligible.map(|record| UsableTarget {
-            cold_until: cold.until(&record.incarnation.id),
+            cold_until: warm_ups.until(&record.incarnation.id),
             record: record.clone(),
         });
         targets.collect()
@@ -43,13 +43,15 @@
     /// Updates warm-ups from the present records.
     pub(super) fn update_warm_ups(&self) {
         let registry = self.registry.borrow();
-        let cold = registry.all().filter(|(_, record)| record.cold_ms > 0);
-        let cold = cold.map(|(at, record)| ColdRecord {
+        let warming_up = registry.all().filter(|(_, record)| record.cold_ms > 0);
+        let warming_up = warming_up.map(|(at, record)| ColdRecord {
             incarnation: &record.incarnation.id,
             at,
             cold_ms: record.cold_ms,
         });
-        self.warm_ups.borrow_mut().take(self.clock.now(), cold);
+        self.warm_ups
+            .borrow_mut()
+            .take(self.clock.now(), warming_up);
     }
 
     /// Services whose usable targets are all in evacuated halls.
@@ -57,8 +59,8 @@
         let registry = self.registry.borrow();
         let services = |is_inside: bool| -> BTreeSet<&str> {
             let targets = registry.usable();
-            let there = targets.filter(|target| evacuated.contains(&target.hall) == is_inside);
-            there.map(|target| target.service.as_str()).collect()
+            let in_halls = targets.filter(|target| evacuated.contains(&target.hall) == is_inside);
+            in_halls.map(|target| target.service.as_str()).collect()
         };
         let missing = &services(true) - &services(false);
         missing.into_iter().map(str::to_string).collect()
