--- a/crates/gateway/src/placement/mod.rs
+++ b/crates/gateway/src/placement/mod.rs
@@ -1,15 +1,12 @@
-//! Which engine gets a generation: the desk of its group of engines says.
+//! Placement of requests on targets by the scheduler of their group.
 //!
-//! Every group of engines has one owner among the entries, as queues of stages
-//! do, and its [`Desk`] knows what all entries have there. An entry asks
-//! it over the peers' links; where no answer comes in time it chooses by itself,
-//! with what it knows. A [`Placed`] tells the desk how the generation went.
-//!
-//! Where a target of a plain service names a limit, the service has a desk, too: what all
-//! entries together send there is known to one alone.
+//! Each group of targets is owned by one entry, whose [`GroupScheduler`] tracks the load that
+//! all entries put on it. Other entries send their demands to the owner over peer links and
+//! choose a target themselves if no answer arrives in time. A [`Placed`] reports the request's
+//! progress to the scheduler. Plain services use this too while a target reports a limit.
 
-mod desk;
 mod placed;
+mod scheduler;
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -25,56 +22,54 @@
 use crate::target_group::TargetGroup;
 use crate::traffic::Traffic;
 
-use desk::{Answer, Desk, Reply};
-use placed::Account;
 pub use placed::Placed;
+use placed::SchedulerHandle;
+use scheduler::{Decision, GroupScheduler, Reply};
 
-/// Engines in a group at most. A part is kept by one engine of its group, so fewer groups
-/// read fewer parts again; one owner's processor bears hundreds of generations a second. No
-/// larger pool was measured.
-const GROUP_ENGINES: usize = 512;
-/// Longest wait for a desk's answer; a hop takes about two milliseconds, and
-/// choosing alone costs less than waiting much longer.
-const ANSWER_WITHIN: Duration = Duration::from_millis(40);
+/// Maximum engines in a group. Each group caches a prefix separately, so larger groups need
+/// fewer prefills.
+const MAX_GROUP_ENGINES: usize = 512;
+/// Longest wait for a peer's scheduler; past it, a local choice costs less than waiting.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(40);
 
-/// A placement at a desk here.
-type DeskEntry = (Rc<Desk>, PlacementKey);
+/// A placement at a local scheduler.
+type SchedulerEntry = (Rc<GroupScheduler>, PlacementKey);
 
-/// What came of asking for a place.
+/// Outcome of a placement attempt.
 pub enum PlaceEnd {
     There(Incarnation, Placed),
-    /// All that may serve have had what they take, for longer than the request may wait.
+    /// All candidates are at their limits for longer than the request may wait.
     Full {
         return_in: Duration,
     },
-    /// The desk knows none.
+    /// The scheduler has no candidate.
     Nowhere,
-    /// No desk answers.
+    /// No scheduler answered in time.
     Silent,
 }
 
-/// A demand in the queue of a desk here, until it is dropped.
-struct Queued {
-    desk: Rc<Desk>,
+/// Removes a demand from a local scheduler's queue when dropped.
+struct QueueGuard {
+    scheduler: Rc<GroupScheduler>,
     key: DemandKey,
 }
 
-impl Drop for Queued {
+impl Drop for QueueGuard {
     fn drop(&mut self) {
-        self.desk.leave_queue(self.key);
+        self.scheduler.dequeue(self.key);
     }
 }
 
-/// The desks that this entry owns or owned.
+/// The schedulers that this entry owns or used to own, and the placements of peers there.
 #[derive(Default)]
 pub struct Placements {
-    desks: RefCell<HashMap<String, Rc<Desk>>>,
-    /// Placements that peers have at desks here.
-    of_peers: RefCell<HashMap<(PeerId, PlacementId), DeskEntry>>,
-    /// Demands of peers that wait at desks here.
-    of_peers_queued: RefCell<HashMap<(PeerId, PlacementId), Queued>>,
-    /// Placements asked of peers so far, for their numbers.
-    asked: Cell<u64>,
+    schedulers: RefCell<HashMap<String, Rc<GroupScheduler>>>,
+    /// Placements of peers at local schedulers.
+    peer_placements: RefCell<HashMap<(PeerId, PlacementId), SchedulerEntry>>,
+    /// Demands of peers that are queued at local schedulers.
+    peer_queued: RefCell<HashMap<(PeerId, PlacementId), QueueGuard>>,
+    /// Counter for the ids of placements requested from peers.
+    last_id: Cell<u64>,
 }
 
 impl Placements {
@@ -86,10 +81,10 @@
         demand: Demand<Incarnation>,
     ) -> PlaceEnd {
         let targets = cx.target_count(service);
-        let name = TargetGroup::for_key(targets, GROUP_ENGINES, &demand.part).name(service);
+        let name = TargetGroup::for_key(targets, MAX_GROUP_ENGINES, &demand.part).name(service);
         match cx.peers.owner_of(cx, &name) {
-            Owner::Me => match self.desk(cx, &name) {
-                Some(desk) => place_here(cx, desk, demand).await,
+            Owner::Me => match self.scheduler(cx, &name) {
+                Some(scheduler) => place_here(cx, scheduler, demand).await,
                 None => PlaceEnd::Nowhere,
             },
             Owner::Peer(link) => self.place_at_peer(link, name, demand).await,
@@ -99,154 +94,164 @@
     async fn place_at_peer(
         &self,
         link: Rc<Link>,
-        desk: String,
+        name: String,
         demand: Demand<Incarnation>,
     ) -> PlaceEnd {
         let id = self.next_id();
         let waits = Duration::from_millis(demand.waits_ms);
-        // Told as given up if the answer comes too late.
-        let placed = Placed::new(Account::Peer(link.clone(), id));
-        let mut ask = link.place(id, desk, demand);
-        let mut answer = timeout(ANSWER_WITHIN, ask.next()).await;
+        // Dropped if the answer is too late, which reports the placement as abandoned.
+        let placed = Placed::new(SchedulerHandle::Peer(link.clone(), id));
+        let mut replies = link.place(id, name, demand);
+        let mut answer = timeout(REPLY_TIMEOUT, replies.next()).await;
         if let Ok(Some(PlaceAnswer::Waits)) = answer {
-            answer = timeout(waits + ANSWER_WITHIN, ask.next()).await;
+            answer = timeout(waits + REPLY_TIMEOUT, replies.next()).await;
         }
         match answer {
             Ok(Some(PlaceAnswer::There(engine))) => PlaceEnd::There(engine, placed),
-            Ok(Some(PlaceAnswer::Full { return_ms })) => full(return_ms),
+            Ok(Some(PlaceAnswer::Full { return_ms })) => at_limit(return_ms),
             Ok(Some(PlaceAnswer::Nowhere)) => PlaceEnd::Nowhere,
             Ok(Some(PlaceAnswer::Waits) | None) | Err(_) => PlaceEnd::Silent,
         }
     }
 
     fn next_id(&self) -> PlacementId {
-        self.asked.set(self.asked.get() + 1);
-        PlacementId(self.asked.get())
+        self.last_id.set(self.last_id.get() + 1);
+        PlacementId(self.last_id.get())
     }
 
-    /// The desk of that name; `None` when no desk can have it.
-    fn desk(&self, cx: &Rc<Traffic>, name: &str) -> Option<Rc<Desk>> {
-        if let Some(known) = self.desks.borrow().get(name) {
+    /// Returns the scheduler of a group, created if needed; `None` if the name is no group's.
+    fn scheduler(&self, cx: &Rc<Traffic>, name: &str) -> Option<Rc<GroupScheduler>> {
+        if let Some(known) = self.schedulers.borrow().get(name) {
             return Some(known.clone());
         }
         TargetGroup::parse(name)?;
-        let desk = Rc::new(Desk::new(name));
-        desk.take_targets(cx);
-        self.desks
+        let scheduler = Rc::new(GroupScheduler::new(name));
+        scheduler.update_targets(cx);
+        self.schedulers
             .borrow_mut()
-            .insert(name.to_string(), desk.clone());
-        Some(desk)
+            .insert(name.to_string(), scheduler.clone());
+        Some(scheduler)
     }
 
-    /// A peer asks for a place.
+    /// Handles a peer's demand for a target.
     pub fn take_ask(
         &self,
         cx: &Rc<Traffic>,
         link: &Rc<Link>,
         id: PlacementId,
-        desk: &str,
+        scheduler: &str,
         demand: Demand<Incarnation>,
     ) {
-        let Some(desk) = self.desk(cx, desk) else {
+        let Some(scheduler) = self.scheduler(cx, scheduler) else {
             link.send(Message::Placed(id, PlaceAnswer::Nowhere));
             return;
         };
-        let answer = desk.ask(cx, &demand);
-        if let Answer::MayWait(until) = answer {
+        let answer = scheduler.submit(cx, &demand);
+        if let Decision::MayQueue(until) = answer {
             let reply = Reply::Peer(link.clone(), id);
-            let key = desk.wait(cx, demand, until, reply);
-            let queued = Queued {
-                desk: desk.clone(),
+            let key = scheduler.enqueue(cx, demand, until, reply);
+            let queued = QueueGuard {
+                scheduler: scheduler.clone(),
                 key,
             };
-            let mut waiting = self.of_peers_queued.borrow_mut();
+            let mut waiting = self.peer_queued.borrow_mut();
             waiting.insert((link.peer.id, id), queued);
         }
-        self.answer_peer(&desk, link, id, &answer);
+        self.answer_peer(&scheduler, link, id, &answer);
     }
 
-    /// Tells a peer what its demand got at a desk here.
-    fn answer_peer(&self, desk: &Rc<Desk>, link: &Rc<Link>, id: PlacementId, answer: &Answer) {
-        let of = (link.peer.id, id);
-        if let Answer::There(key, _) = answer {
-            let mut of_peers = self.of_peers.borrow_mut();
-            of_peers.insert(of, (desk.clone(), *key));
+    /// Sends a peer the answer to its demand.
+    fn answer_peer(
+        &self,
+        scheduler: &Rc<GroupScheduler>,
+        link: &Rc<Link>,
+        id: PlacementId,
+        decision: &Decision,
+    ) {
+        let peer_key = (link.peer.id, id);
+        if let Decision::Assigned(key, _) = decision {
+            let mut peer_placements = self.peer_placements.borrow_mut();
+            peer_placements.insert(peer_key, (scheduler.clone(), *key));
         }
-        if !matches!(answer, Answer::MayWait(_)) {
-            self.of_peers_queued.borrow_mut().remove(&of);
+        if !matches!(decision, Decision::MayQueue(_)) {
+            self.peer_queued.borrow_mut().remove(&peer_key);
         }
-        link.send(Message::Placed(id, answer.for_peer()));
+        link.send(Message::Placed(id, decision.to_peer()));
     }
 
-    /// A peer tells how a placement goes.
+    /// Handles a peer's report on the progress of its placement.
     pub fn take_step(&self, cx: &Traffic, from: PeerId, id: PlacementId, step: PlacementStep) {
-        self.of_peers_queued.borrow_mut().remove(&(from, id));
-        let mut of_peers = self.of_peers.borrow_mut();
+        self.peer_queued.borrow_mut().remove(&(from, id));
+        let mut peer_placements = self.peer_placements.borrow_mut();
         let placement = match step {
-            PlacementStep::PromptRead => of_peers.get(&(from, id)).cloned(),
-            _ => of_peers.remove(&(from, id)),
+            PlacementStep::PromptRead => peer_placements.get(&(from, id)).cloned(),
+            _ => peer_placements.remove(&(from, id)),
         };
-        if let Some((desk, key)) = placement {
-            desk.step(cx, key, step);
+        if let Some((scheduler, key)) = placement {
+            scheduler.record_step(cx, key, step);
         }
     }
 
-    /// A peer is lost: its placements are taken to have ended.
+    /// Ends all placements and queued demands of a lost peer.
     pub fn requester_lost(&self, cx: &Traffic, peer: PeerId) {
-        let mut queued = self.of_peers_queued.borrow_mut();
-        queued.retain(|(of, _), _| *of != peer);
+        let mut queued = self.peer_queued.borrow_mut();
+        queued.retain(|(peer_id, _), _| *peer_id != peer);
         drop(queued);
-        let mut of_peers = self.of_peers.borrow_mut();
-        of_peers.retain(|(of, _), (desk, key)| {
-            let stays = *of != peer;
-            if !stays {
-                desk.step(cx, *key, PlacementStep::Whole);
+        let mut peer_placements = self.peer_placements.borrow_mut();
+        peer_placements.retain(|(peer_id, _), (scheduler, key)| {
+            let is_kept = *peer_id != peer;
+            if !is_kept {
+                scheduler.record_step(cx, *key, PlacementStep::Whole);
             }
-            stays
+            is_kept
         });
     }
 
-    /// Takes the targets of a new view over.
+    /// Applies the targets of a new view.
     pub fn take_targets(&self, cx: &Rc<Traffic>) {
-        for desk in self.desks.borrow().values() {
-            desk.take_targets(cx);
+        for scheduler in self.schedulers.borrow().values() {
+            scheduler.update_targets(cx);
         }
     }
 
-    /// The same for one service.
+    /// Applies the targets of one service.
     pub fn take_targets_of(&self, cx: &Rc<Traffic>, service: &str) {
-        let desks = self.desks.borrow();
-        let desks = desks.iter().filter(|(name, _)| {
+        let schedulers = self.schedulers.borrow();
+        let schedulers = schedulers.iter().filter(|(name, _)| {
             TargetGroup::parse(name).is_some_and(|(known, _)| known == service)
         });
-        desks.for_each(|(_, desk)| desk.take_targets(cx));
+        schedulers.for_each(|(_, scheduler)| scheduler.update_targets(cx));
     }
 }
 
-/// Places a request at a desk here.
-async fn place_here(cx: &Rc<Traffic>, desk: Rc<Desk>, demand: Demand<Incarnation>) -> PlaceEnd {
-    let mut answer = desk.ask(cx, &demand);
-    if let Answer::MayWait(until) = answer {
-        let (tx, rx) = oneshot::channel();
-        let key = desk.wait(cx, demand, until, Reply::Here(tx));
-        let _queued = Queued {
-            desk: desk.clone(),
+/// Places a request at a local scheduler.
+async fn place_here(
+    cx: &Rc<Traffic>,
+    scheduler: Rc<GroupScheduler>,
+    demand: Demand<Incarnation>,
+) -> PlaceEnd {
+    let mut answer = scheduler.submit(cx, &demand);
+    if let Decision::MayQueue(until) = answer {
+        let (sender, receiver) = oneshot::channel();
+        let key = scheduler.enqueue(cx, demand, until, Reply::Local(sender));
+        let _guard = QueueGuard {
+            scheduler: scheduler.clone(),
             key,
         };
-        answer = rx.await.unwrap_or(Answer::Nowhere);
+        answer = receiver.await.unwrap_or(Decision::NoCandidate);
     }
     match answer {
-        Answer::There(key, engine) => {
-            let account = Account::Here(cx.clone(), desk, key);
-            PlaceEnd::There(engine, Placed::new(account))
+        Decision::Assigned(key, engine) => {
+            let handle = SchedulerHandle::Local(cx.clone(), scheduler, key);
+            PlaceEnd::There(engine, Placed::new(handle))
         }
-        Answer::Full { return_ms } => full(return_ms),
-        Answer::MayWait(_) | Answer::Nowhere => PlaceEnd::Nowhere,
+        Decision::AtLimit { retry_after_ms } => at_limit(retry_after_ms),
+        Decision::MayQueue(_) | Decision::NoCandidate => PlaceEnd::Nowhere,
     }
 }
 
-fn full(return_ms: u64) -> PlaceEnd {
+fn at_limit(retry_after_ms: u64) -> PlaceEnd {
     PlaceEnd::Full {
-        return_in: Duration::from_millis(return_ms),
+        return_in: Duration::from_millis(retry_after_ms),
     }
 }
--- a/crates/gateway/src/placement/placed.rs
+++ b/crates/gateway/src/placement/placed.rs
@@ -1,70 +1,69 @@
-//! A generation on a desk's account, until it has ended.
+//! A placed request, which reports its progress and end to the scheduler that placed it.
 
 use std::rc::Rc;
 
 use hollowsail_routing::PlacementKey;
 use hollowsail_targets::Target;
 
-use super::Desk;
+use super::GroupScheduler;
 use crate::peers::{Link, Message, PlacementId, PlacementStep};
 use crate::target_words;
 use crate::traffic::Traffic;
 
-/// Where the account is.
-pub(super) enum Account {
-    Here(Rc<Traffic>, Rc<Desk>, PlacementKey),
+/// The scheduler that placed a request, and the placement's key or id there.
+pub(super) enum SchedulerHandle {
+    Local(Rc<Traffic>, Rc<GroupScheduler>, PlacementKey),
     Peer(Rc<Link>, PlacementId),
 }
 
-/// A generation that a desk placed. Dropped without another word, it is told as
-/// given up.
+/// A request placed by a scheduler. Dropped before its end is set, it is reported as
+/// abandoned.
 pub struct Placed {
-    account: Account,
+    scheduler: SchedulerHandle,
     end: PlacementStep,
 }
 
 impl Placed {
-    /// One that was just placed.
-    pub(super) fn new(account: Account) -> Self {
+    pub(super) fn new(scheduler: SchedulerHandle) -> Self {
         Placed {
-            account,
+            scheduler,
             end: PlacementStep::Left,
         }
     }
 
-    /// Its target answered: a desk elsewhere, which may have a new owner, hears again what
-    /// the target says of how much it takes.
+    /// Repeats the target's limit report to a remote scheduler once the target has answered,
+    /// as the scheduler may have a new owner that lacks it.
     pub fn answered(&self, cx: &Traffic, target: &Target) {
-        if let Account::Peer(link, _) = &self.account {
+        if let SchedulerHandle::Peer(link, _) = &self.scheduler {
             target_words::repeat_limit(cx, target, link);
         }
     }
 
-    /// Its first event came.
+    /// Reports that the prefill is done; called at the first event.
     pub fn prompt_read(&self) {
-        self.tell(PlacementStep::PromptRead);
+        self.notify(PlacementStep::PromptRead);
     }
 
-    /// It ends whole.
+    /// Marks the response as complete.
     pub fn whole(&mut self) {
         self.end = PlacementStep::Whole;
     }
 
-    /// It ends without a good answer, and the engine is to blame.
+    /// Marks the request as failed by its target.
     pub fn failed(&mut self) {
         self.end = PlacementStep::Failed;
     }
 
-    fn tell(&self, step: PlacementStep) {
-        match &self.account {
-            Account::Here(cx, desk, key) => desk.step(cx, *key, step),
-            Account::Peer(link, id) => link.send(Message::PlacementStep(*id, step)),
+    fn notify(&self, step: PlacementStep) {
+        match &self.scheduler {
+            SchedulerHandle::Local(cx, scheduler, key) => scheduler.record_step(cx, *key, step),
+            SchedulerHandle::Peer(link, id) => link.send(Message::PlacementStep(*id, step)),
         }
     }
 }
 
 impl Drop for Placed {
     fn drop(&mut self) {
-        self.tell(self.end);
+        self.notify(self.end);
     }
 }
--- a/crates/gateway/src/pools/batcher/hand_over.rs
+++ b/crates/gateway/src/pools/batcher/hand_over.rs
@@ -1,24 +1,22 @@
-//! How a queue passes from one owner to the next, as the entries change.
+//! Handover of a queue to another owner when the set of entries changes.
 //!
-//! Pieces that aren't begun go back to their requesters, who hand them to the
-//! next owner. That one is told what is known of the workers. Calls under way
-//! end where they began.
+//! Waiting pieces are returned to their requesters, which send them to the new owner. The new
+//! owner receives the state of the workers. Calls in progress are finished by the old owner.
 
 use std::rc::Rc;
 
 use hollowsail_routing::Millis;
 
-use super::results::Kept;
-use super::{Batcher, LocalEnd, Reply};
+use super::results::ResultRecord;
+use super::{Batcher, LocalOutcome, Reply};
 use crate::peers::{self, Link, Message, WorkerAtHandOver};
 
-/// How long results that the owner before had made are taken to stay, in
-/// milliseconds: about two calls of the stages after.
-const FOREIGN_RESULT_MS: Millis = 800;
+/// Assumed retention of results that the previous owner had produced, which this entry can't
+/// track; about two calls of later stages.
+const INHERITED_RESULT_MS: Millis = 800;
 
 impl Batcher {
-    /// The queue has another owner now: what isn't begun goes there, and what is
-    /// known of the workers. Calls under way end here.
+    /// Hands the waiting pieces and the state of the workers over to a new owner.
     pub fn hand_over(&self, to: &Rc<Link>) {
         let waiting = self.queue.borrow_mut().take_waiting();
         if waiting.is_empty() && self.queue.borrow().running() == 0 {
@@ -31,10 +29,10 @@
         for piece in waiting {
             let job = self.queue.borrow_mut().finish(piece);
             match job.map(|job| job.reply) {
-                // A requester that left needs no answer.
-                Some(Reply::Here(tx)) => drop(tx.send(LocalEnd::Moved)),
+                // The requester may have stopped waiting.
+                Some(Reply::Local(sender)) => drop(sender.send(LocalOutcome::Moved)),
                 Some(Reply::Peer(requester)) => {
-                    self.forget_piece(&requester);
+                    self.remove_peer_piece(&requester);
                     let moved = Message::Ended(requester.id, peers::PieceEnd::Moved);
                     requester.link.send(moved);
                 }
@@ -56,21 +54,22 @@
         states.collect()
     }
 
-    /// The queue passed to this entry: its workers have calls and results that
-    /// this entry knows nothing else of.
+    /// Accounts for the calls and results of the previous owner at the workers.
     pub fn take_over(self: &Rc<Self>, workers: &[WorkerAtHandOver]) {
         let now = self.now();
-        for told in workers {
-            let known = self.workers.borrow().worker(&told.target);
+        for handed_over in workers {
+            let known = self.workers.borrow().worker(&handed_over.target);
             let Some(worker) = known else { continue };
-            self.queue.borrow_mut().take_over(worker, &told.state, now);
-            let name = format!("taken over/{}/{now}", told.target.id);
-            let result = Kept {
+            self.queue
+                .borrow_mut()
+                .take_over(worker, &handed_over.state, now);
+            let name = format!("taken over/{}/{now}", handed_over.target.id);
+            let result = ResultRecord {
                 worker,
-                bytes: told.state.held_bytes,
-                since: None,
-                until: now + FOREIGN_RESULT_MS,
-                at_peer: None,
+                bytes: handed_over.state.held_bytes,
+                called_at: None,
+                expires: now + INHERITED_RESULT_MS,
+                peer: None,
             };
             self.results.borrow_mut().insert(name, result);
         }
--- a/crates/gateway/src/pools/batcher/mod.rs
+++ b/crates/gateway/src/pools/batcher/mod.rs
@@ -1,11 +1,9 @@
-//! Makes the pieces of one queue.
+//! Produces the pieces of one queue.
 //!
-//! Requests and peers hand pieces in; the queue of `hollowsail-stages` says
-//! which pieces share a call to which target; [`super::call`] makes the call
-//! and tells the batcher how each piece ended, which tells who waits for it
-//! ([`replies`]). Results are remembered until they are given up, or until
-//! their maker drops them by itself ([`results`]). When another entry becomes
-//! the queue's owner, what isn't begun goes there ([`hand_over`]).
+//! Requests and peers submit pieces, `hollowsail-stages` batches them into calls, and
+//! [`super::call`] makes the calls. Outcomes go to the requesters ([`replies`]); results are
+//! tracked until they are released or expire ([`results`]). When the queue gets another owner,
+//! waiting pieces go there ([`hand_over`]).
 
 mod hand_over;
 mod replies;
@@ -26,7 +24,7 @@
 use tokio::sync::oneshot;
 
 use self::replies::Reply;
-use self::results::Kept;
+use self::results::ResultRecord;
 use self::workers::Workers;
 use super::{call, Requester, Wanted};
 use crate::mechanisms::Mechanism;
@@ -34,56 +32,55 @@
 use crate::peers::{Link, PeerId, PieceId};
 use crate::traffic::Traffic;
 
-pub(super) use self::replies::LocalEnd;
+pub(super) use self::replies::LocalOutcome;
 
-/// Between two looks for pieces and calls whose time is over, while there are
-/// any.
-const TICK: Duration = Duration::from_millis(25);
+/// Interval between checks for expired pieces and overdue calls while the queue is busy.
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// A piece that waits or is being made.
+/// A piece that is waiting or in progress.
 pub(super) struct Job {
     pub piece: Piece,
-    /// What makes its request the same as another one.
+    /// Digest of its request's content; equal requests have equal digests.
     pub request: RequestDigest,
-    /// Times that it was given back.
+    /// Failed attempts.
     pub failures: u32,
-    /// Workers that ended while they made it.
-    pub ended: u32,
-    /// Those of them that made pieces of its request and of no other.
-    pub ended_alone: u32,
+    /// Worker crashes in calls with this piece.
+    pub crashes: u32,
+    /// Of these, crashes in calls with pieces of its request only.
+    pub crashes_alone: u32,
     reply: Reply,
 }
 
-/// One queue.
+/// Produces the pieces of one queue with the targets of its group.
 pub struct Batcher {
     cx: Weak<Traffic>,
     name: String,
     pub(super) queue: RefCell<BatchQueue<Job>>,
     workers: RefCell<Workers>,
-    results: RefCell<HashMap<String, Kept>>,
-    /// Pieces that peers wait for.
-    of_peers: RefCell<HashMap<(PeerId, PieceId), PieceKey>>,
-    /// Handles to give up, by the worker that made them.
-    spent: RefCell<HashMap<WorkerKey, Vec<String>>>,
-    /// When each requester was last told what this queue has to do.
-    load_told: RefCell<HashMap<PeerId, Millis>>,
-    /// How long a maker keeps a result, in milliseconds.
-    kept_ms: Cell<Millis>,
-    /// Some worker names a limit.
+    results: RefCell<HashMap<String, ResultRecord>>,
+    /// Unfinished pieces of peers.
+    peer_pieces: RefCell<HashMap<(PeerId, PieceId), PieceKey>>,
+    /// Handles to release, by the worker that retains them.
+    pending_releases: RefCell<HashMap<WorkerKey, Vec<String>>>,
+    /// Time of the last load report to each peer.
+    load_sent: RefCell<HashMap<PeerId, Millis>>,
+    /// How long a worker retains an unreleased result, in milliseconds.
+    retention_ms: Cell<Millis>,
+    /// Some worker reports a limit.
     has_limits: Cell<bool>,
-    owned: OwnedSince,
-    will_pump: Cell<bool>,
+    ownership_age: OwnedSince,
+    is_pump_scheduled: Cell<bool>,
     is_ticking: Cell<bool>,
-    is_freeing: Cell<bool>,
+    is_releasing: Cell<bool>,
 }
 
-/// Takes a piece out of the queue when its request no longer waits.
-struct Submitted<'a> {
+/// Removes a piece from the queue when its request stops waiting.
+struct SubmittedPiece<'a> {
     batcher: &'a Batcher,
     piece: PieceKey,
 }
 
-impl Drop for Submitted<'_> {
+impl Drop for SubmittedPiece<'_> {
     fn drop(&mut self) {
         self.batcher.queue.borrow_mut().finish(self.piece);
     }
@@ -100,7 +97,7 @@
 }
 
 impl Batcher {
-    /// A batcher without targets.
+    /// Creates a batcher without targets.
     pub fn new(cx: &Rc<Traffic>, name: &str, pool: &StagePool) -> Rc<Self> {
         Rc::new(Batcher {
             cx: Rc::downgrade(cx),
@@ -108,39 +105,39 @@
             queue: RefCell::new(BatchQueue::new(rules_of(pool))),
             workers: RefCell::default(),
             results: RefCell::default(),
-            of_peers: RefCell::default(),
-            spent: RefCell::default(),
-            load_told: RefCell::default(),
-            kept_ms: Cell::new(pool.kept_for.as_millis() as Millis),
+            peer_pieces: RefCell::default(),
+            pending_releases: RefCell::default(),
+            load_sent: RefCell::default(),
+            retention_ms: Cell::new(pool.kept_for.as_millis() as Millis),
             has_limits: Cell::new(false),
-            owned: OwnedSince::default(),
-            will_pump: Cell::new(false),
+            ownership_age: OwnedSince::default(),
+            is_pump_scheduled: Cell::new(false),
             is_ticking: Cell::new(false),
-            is_freeing: Cell::new(false),
+            is_releasing: Cell::new(false),
         })
     }
 
-    /// Name of its queue.
+    /// Name of the queue.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// The time; 0 when the entry's traffic is gone, and nobody looks at it.
+    /// Current time; 0 once the entry's traffic is dropped.
     fn now(&self) -> Millis {
         self.cx.upgrade().map_or(0, |cx| cx.clock.now())
     }
 
-    /// Takes new rules for calls to come.
+    /// Sets the rules for future calls.
     pub fn set_rules(&self, pool: &StagePool) {
         self.queue.borrow_mut().set_rules(rules_of(pool));
-        self.kept_ms.set(pool.kept_for.as_millis() as Millis);
+        self.retention_ms.set(pool.kept_for.as_millis() as Millis);
     }
 
     fn has(&self, mechanism: Mechanism) -> bool {
         self.cx.upgrade().is_none_or(|cx| cx.has(mechanism))
     }
 
-    /// The pieces of one stage of one request.
+    /// Group of pieces to batch together: those of one stage of one request.
     fn group_of(&self, piece: &Piece) -> GroupKey {
         GroupKey(match self.has(Mechanism::Groups) {
             true => rendezvous::score(&piece.request_id, piece.stage),
@@ -148,24 +145,24 @@
         })
     }
 
-    /// Makes a piece. Dropping the future gives the piece up.
-    pub(super) async fn make(self: &Rc<Self>, wanted: Wanted) -> LocalEnd {
-        let (tx, result) = oneshot::channel();
-        let key = self.push(wanted, Reply::Here(tx));
-        let _submitted = Submitted {
+    /// Produces a piece. Dropping the future cancels it.
+    pub(super) async fn make(self: &Rc<Self>, wanted: Wanted) -> LocalOutcome {
+        let (sender, result) = oneshot::channel();
+        let key = self.push(wanted, Reply::Local(sender));
+        let _submitted = SubmittedPiece {
             batcher: self,
             piece: key,
         };
         result
             .await
-            .unwrap_or(LocalEnd::Failed(PieceFailure::Failed))
+            .unwrap_or(LocalOutcome::Failed(PieceFailure::Failed))
     }
 
-    /// Makes a piece for a peer.
-    pub fn take_from_peer(self: &Rc<Self>, link: Rc<Link>, id: PieceId, wanted: Wanted) {
+    /// Produces a piece for a peer.
+    pub fn accept_from_peer(self: &Rc<Self>, link: Rc<Link>, id: PieceId, wanted: Wanted) {
         let peer = link.peer.id;
         let key = self.push(wanted, Reply::Peer(Requester { link, id }));
-        self.of_peers.borrow_mut().insert((peer, id), key);
+        self.peer_pieces.borrow_mut().insert((peer, id), key);
     }
 
     fn push(self: &Rc<Self>, wanted: Wanted, reply: Reply) -> PieceKey {
@@ -192,8 +189,8 @@
             piece: wanted.piece,
             request: wanted.request,
             failures: 0,
-            ended: 0,
-            ended_alone: 0,
+            crashes: 0,
+            crashes_alone: 0,
             reply,
         };
         let key = self.queue.borrow_mut().push(order, job, now);
@@ -204,31 +201,31 @@
         key
     }
 
-    /// True when targets ended under a request before.
+    /// Returns true if targets have crashed while serving the request.
     fn is_suspect(&self, request: RequestDigest) -> bool {
         let cx = self.cx.upgrade();
         cx.is_some_and(|cx| cx.crashes.is_suspect(&cx, || request))
     }
 
-    /// Makes calls once the tasks that run now have run: pieces that a request
-    /// hands in together go into one call.
+    /// Schedules [`Self::pump`] after the tasks that are ready now, so that pieces submitted
+    /// together share a call.
     fn pump_soon(self: &Rc<Self>) {
-        if self.will_pump.replace(true) {
+        if self.is_pump_scheduled.replace(true) {
             return;
         }
         let batcher = self.clone();
         actix_rt::spawn(async move {
-            batcher.will_pump.set(false);
+            batcher.is_pump_scheduled.set(false);
             batcher.pump();
         });
     }
 
     fn update_limit_share(&self, cx: &Rc<Traffic>) {
-        let share = self.owned.limit_share(cx, &self.name);
+        let share = self.ownership_age.limit_share(cx, &self.name);
         self.queue.borrow_mut().set_limit_share(share);
     }
 
-    /// Makes every call that can be made now.
+    /// Starts every call that can start now.
     pub(super) fn pump(self: &Rc<Self>) {
         let Some(cx) = self.cx.upgrade() else {
             return;
@@ -247,7 +244,7 @@
         self.tick_while_busy(&cx);
     }
 
-    /// Looks for what is over, as long as anything is under way.
+    /// Runs [`Self::tick`] periodically until the queue is idle.
     fn tick_while_busy(self: &Rc<Self>, cx: &Rc<Traffic>) {
         if self.is_ticking.get() || self.is_idle() {
             return;
@@ -256,7 +253,7 @@
         let (batcher, cx) = (self.clone(), cx.clone());
         actix_rt::spawn(async move {
             while !batcher.is_idle() {
-                tokio::time::sleep(TICK).await;
+                tokio::time::sleep(TICK_INTERVAL).await;
                 batcher.tick(&cx);
             }
             batcher.is_ticking.set(false);
@@ -274,12 +271,12 @@
         for piece in expired {
             self.failed(piece, PieceFailure::Late);
         }
-        self.forget_dropped(now);
-        let slow = match cx.has(Mechanism::Overdue) {
+        self.remove_expired_results(now);
+        let overdue = match cx.has(Mechanism::Overdue) {
             true => self.queue.borrow_mut().take_overdue(now),
             false => Vec::new(),
         };
-        for worker in slow {
+        for worker in overdue {
             if let Some(target) = self.workers.borrow().target(worker) {
                 let fields = format_args!(
                     "queue={} target={} why=call_overdue",
--- a/crates/gateway/src/pools/batcher/replies.rs
+++ b/crates/gateway/src/pools/batcher/replies.rs
@@ -1,4 +1,6 @@
-//! How requests and peers hear of their pieces, and how they give them up.
+//! Outcomes of pieces for local requests and peers, and cancellation by them.
+//!
+//! Peers also receive reports of the queue's load along with the outcomes.
 
 use std::rc::Rc;
 
@@ -8,43 +10,43 @@
 use hollowsail_targets::Target;
 use tokio::sync::oneshot;
 
-use super::results::Kept;
+use super::results::ResultRecord;
 use super::Batcher;
 use crate::peers::{Link, Made, Message, PeerId, PieceEnd, PieceId};
 use crate::pools::{HeldResult, Requester};
 
-/// Between two words to a requester on what a queue has to do, in milliseconds;
-/// they go with results, so an idle queue tells nothing.
-const TELL_LOAD_MS: Millis = 60;
+/// Shortest interval between two load reports to a peer.
+const LOAD_INTERVAL_MS: Millis = 60;
 
-/// Who waits for a piece.
+/// The recipient of a piece's outcome.
 pub(super) enum Reply {
-    Here(oneshot::Sender<LocalEnd>),
+    Local(oneshot::Sender<LocalOutcome>),
     Peer(Requester),
 }
 
-/// How a piece ended for a request of this entry.
-pub(in crate::pools) enum LocalEnd {
-    Made(HeldResult),
+/// Outcome of a piece of a local request.
+pub(in crate::pools) enum LocalOutcome {
+    Completed(HeldResult),
     Failed(PieceFailure),
-    /// Not begun; the queue has another owner now.
+    /// Not started; the queue has another owner now.
     Moved,
 }
 
 impl Batcher {
-    /// A piece wasn't made.
+    /// Removes a failed piece and reports the failure to its requester.
     pub(in crate::pools) fn failed(&self, piece: PieceKey, failure: PieceFailure) {
         let job = self.queue.borrow_mut().finish(piece);
         match job.map(|job| job.reply) {
-            // A requester that left needs no answer.
-            Some(Reply::Here(tx)) => drop(tx.send(LocalEnd::Failed(failure))),
+            // The requester may have stopped waiting.
+            Some(Reply::Local(sender)) => drop(sender.send(LocalOutcome::Failed(failure))),
             Some(Reply::Peer(requester)) => self.answer_peer(&requester, PieceEnd::Failed(failure)),
             None => {}
         }
     }
 
-    /// A worker made a result. One that nobody waits for is given up at once.
-    pub(in crate::pools) fn made(
+    /// Reports a completed piece to its requester. A result that is no longer awaited is
+    /// released at once.
+    pub(in crate::pools) fn completed(
         self: &Rc<Self>,
         piece: StartedPiece,
         call: &StartedCall,
@@ -60,50 +62,50 @@
         };
         let job = self.queue.borrow_mut().finish(piece.key);
         let reply = job.map(|job| job.reply);
-        let at_peer = match &reply {
+        let peer = match &reply {
             Some(Reply::Peer(requester)) => Some((requester.link.peer.id, requester.id)),
             _ => None,
         };
         let now = self.now();
-        let result = Kept {
+        let result = ResultRecord {
             worker: call.worker,
             bytes,
-            since: Some(call.at),
-            until: now + self.kept_ms.get(),
-            at_peer,
+            called_at: Some(call.at),
+            expires: now + self.retention_ms.get(),
+            peer,
         };
         self.results.borrow_mut().insert(handle.clone(), result);
         match reply {
-            // A request that left drops the result, which gives it up.
-            Some(Reply::Here(tx)) => {
-                drop(tx.send(LocalEnd::Made(HeldResult::here(self.clone(), made, bytes))))
-            }
+            // If the request has stopped waiting, dropping the result releases it.
+            Some(Reply::Local(sender)) => drop(sender.send(LocalOutcome::Completed(
+                HeldResult::local(self.clone(), made, bytes),
+            ))),
             Some(Reply::Peer(requester)) => self.answer_peer(&requester, PieceEnd::Made(made)),
-            None => self.give_up(&handle),
+            None => self.release(&handle),
         }
     }
 
     fn answer_peer(&self, requester: &Requester, end: PieceEnd) {
-        self.forget_piece(requester);
-        self.tell_load(&requester.link);
+        self.remove_peer_piece(requester);
+        self.send_load(&requester.link);
         requester.link.send(Message::Ended(requester.id, end));
     }
 
-    /// A peer waits for a piece no longer, as it is told how it ended.
-    pub(super) fn forget_piece(&self, requester: &Requester) {
-        let at = (requester.link.peer.id, requester.id);
-        self.of_peers.borrow_mut().remove(&at);
+    /// Removes a peer's piece whose outcome is sent now.
+    pub(super) fn remove_peer_piece(&self, requester: &Requester) {
+        let key = (requester.link.peer.id, requester.id);
+        self.peer_pieces.borrow_mut().remove(&key);
     }
 
-    /// Tells a requester what this queue has to do, now and then.
-    fn tell_load(&self, link: &Rc<Link>) {
+    /// Sends a peer the load of this queue, unless it was sent recently.
+    fn send_load(&self, link: &Rc<Link>) {
         let Some(cx) = self.cx.upgrade() else {
             return;
         };
         let now = cx.clock.now();
-        let mut told = self.load_told.borrow_mut();
-        let last = told.entry(link.peer.id).or_insert(0);
-        if now < *last + TELL_LOAD_MS {
+        let mut sent = self.load_sent.borrow_mut();
+        let last = sent.entry(link.peer.id).or_insert(0);
+        if now < *last + LOAD_INTERVAL_MS {
             return;
         }
         *last = now;
@@ -113,41 +115,41 @@
         });
     }
 
-    /// A peer waits for a piece no longer, or left its result.
-    pub fn give_up_piece(self: &Rc<Self>, from: PeerId, id: PieceId) {
-        if let Some(key) = self.of_peers.borrow_mut().remove(&(from, id)) {
+    /// Cancels a peer's piece, or releases its result if the piece is complete.
+    pub fn cancel_piece(self: &Rc<Self>, from: PeerId, id: PieceId) {
+        if let Some(key) = self.peer_pieces.borrow_mut().remove(&(from, id)) {
             self.queue.borrow_mut().finish(key);
             return;
         }
-        let left = self
+        let handle = self
             .results
             .borrow()
             .iter()
-            .find(|(_, result)| result.at_peer == Some((from, id)))
+            .find(|(_, result)| result.peer == Some((from, id)))
             .map(|(handle, _)| handle.clone());
-        if let Some(handle) = left {
-            self.give_up(&handle);
+        if let Some(handle) = handle {
+            self.release(&handle);
         }
     }
 
-    /// A peer is lost: its pieces and results are given up.
+    /// Cancels the pieces and releases the results of a lost peer.
     pub fn requester_lost(self: &Rc<Self>, peer: PeerId) {
-        self.load_told.borrow_mut().remove(&peer);
-        self.of_peers.borrow_mut().retain(|(of, _), key| {
-            let stays = *of != peer;
-            if !stays {
+        self.load_sent.borrow_mut().remove(&peer);
+        self.peer_pieces.borrow_mut().retain(|(peer_id, _), key| {
+            let is_kept = *peer_id != peer;
+            if !is_kept {
                 self.queue.borrow_mut().finish(*key);
             }
-            stays
+            is_kept
         });
-        let is_its = |result: &Kept| result.at_peer.is_some_and(|(at, _)| at == peer);
-        let left: Vec<String> = self
+        let belongs_to_peer = |result: &ResultRecord| result.peer.is_some_and(|(id, _)| id == peer);
+        let handles: Vec<String> = self
             .results
             .borrow()
             .iter()
-            .filter(|(_, result)| is_its(result))
+            .filter(|(_, result)| belongs_to_peer(result))
             .map(|(handle, _)| handle.clone())
             .collect();
-        left.iter().for_each(|handle| self.give_up(handle));
+        handles.iter().for_each(|handle| self.release(handle));
     }
 }
--- a/crates/gateway/src/pools/batcher/results.rs
+++ b/crates/gateway/src/pools/batcher/results.rs
@@ -1,7 +1,7 @@
-//! The results of a queue, kept at their makers until they are given up.
+//! Results that the workers of a queue retain until they are released.
 //!
-//! A maker's memory is counted by the queue; it is freed there when a result is
-//! given up ([`Batcher::give_up`]), or when the maker has dropped it by itself.
+//! The queue accounts for the memory of each worker. It is freed when a result is released
+//! ([`Batcher::release`]) or expires at the worker.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,55 +16,58 @@
 use crate::peers::{PeerId, PieceId};
 use crate::pools::call;
 
-/// Results given up within this time share a call.
-const FREE_AFTER: Duration = Duration::from_millis(8);
+/// Delay before a release, so that results released together share a call.
+const RELEASE_DELAY: Duration = Duration::from_millis(8);
 
-/// Between two looks for makers that may be told now, where a limit of theirs forbade it.
-const FREE_AGAIN_AFTER: Duration = Duration::from_millis(50);
+/// Interval between attempts to release results at workers whose limits don't allow a call.
+const RELEASE_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A result that lies at its maker.
-pub(super) struct Kept {
+/// A result that a worker retains.
+pub(super) struct ResultRecord {
     pub worker: WorkerKey,
     pub bytes: u64,
-    /// When the call that made it was made; `None` where that isn't known.
-    pub since: Option<Millis>,
-    /// When its maker drops it by itself.
-    pub until: Millis,
-    /// The peer that has it, if one does.
-    pub at_peer: Option<(PeerId, PieceId)>,
+    /// Start of the call that produced it, if known.
+    pub called_at: Option<Millis>,
+    /// Time at which the worker drops it unless released.
+    pub expires: Millis,
+    /// The peer that requested it, and its id for the piece.
+    pub peer: Option<(PeerId, PieceId)>,
 }
 
 impl Batcher {
-    /// A call got no answer: its results may lie at the worker until that drops
-    /// them by itself.
-    pub(in crate::pools) fn keep_unknown(&self, started: &StartedCall) {
+    /// Accounts for results that the worker of an unanswered call may retain until they expire.
+    pub(in crate::pools) fn retain_unanswered(&self, started: &StartedCall) {
         let now = self.now();
         let bytes = started.pieces.iter().map(|piece| piece.result_bytes).sum();
-        let result = Kept {
+        let result = ResultRecord {
             worker: started.worker,
             bytes,
-            since: None,
-            until: now + self.kept_ms.get(),
-            at_peer: None,
+            called_at: None,
+            expires: now + self.retention_ms.get(),
+            peer: None,
         };
-        // No handle is known; the call's own key never is one.
+        // The handle is unknown; this name never equals one.
         let name = format!("unanswered/{:?}", started.call);
         self.results.borrow_mut().insert(name, result);
     }
 
-    /// True when pieces are made, or results lie, at a worker that fits.
-    pub fn has_work_at(&self, fits: impl Fn(&Target) -> bool) -> bool {
+    /// Returns true if a matching worker runs pieces or retains results.
+    pub fn has_work_at(&self, matches: impl Fn(&Target) -> bool) -> bool {
         let workers = self.workers.borrow();
-        let fits = |worker| workers.target(worker).is_some_and(|target| fits(&target));
+        let matches = |worker| {
+            workers
+                .target(worker)
+                .is_some_and(|target| matches(&target))
+        };
         let results = self.results.borrow();
-        let mut makers = results.values().map(|result| result.worker);
-        makers.any(fits) || self.queue.borrow().busy_workers().any(fits)
+        let mut retaining = results.values().map(|result| result.worker);
+        retaining.any(matches) || self.queue.borrow().busy_workers().any(matches)
     }
 
-    /// Results that their makers dropped by themselves.
-    pub(super) fn forget_dropped(&self, now: Millis) {
+    /// Removes results that have expired at their workers.
+    pub(super) fn remove_expired_results(&self, now: Millis) {
         self.results.borrow_mut().retain(|_, result| {
-            let is_kept = result.until > now;
+            let is_kept = result.expires > now;
             if !is_kept {
                 self.queue.borrow_mut().free(result.worker, result.bytes);
             }
@@ -72,75 +75,77 @@
         });
     }
 
-    /// A result is needed no longer.
-    pub fn give_up(self: &Rc<Self>, handle: &str) {
+    /// Releases a result of this queue.
+    pub fn release(self: &Rc<Self>, handle: &str) {
         let Some(result) = self.results.borrow_mut().remove(handle) else {
             return;
         };
         let mut queue = self.queue.borrow_mut();
         queue.free(result.worker, result.bytes);
-        if let Some(since) = result.since {
-            let stayed = self.now().saturating_sub(since);
-            queue.record_stay(result.bytes, stayed);
-            metrics::record_stay(&self.name, Duration::from_millis(stayed));
+        if let Some(called_at) = result.called_at {
+            let retained_ms = self.now().saturating_sub(called_at);
+            queue.record_stay(result.bytes, retained_ms);
+            metrics::record_stay(&self.name, Duration::from_millis(retained_ms));
         }
         drop(queue);
-        self.free_soon(result.worker, handle);
+        self.schedule_release(result.worker, handle);
     }
 
-    /// The same for a result that another owner of this queue may have had
-    /// made.
-    pub fn free(self: &Rc<Self>, target: &Incarnation, handle: &str) {
+    /// Releases a result that an earlier owner of this queue may have had produced.
+    pub fn release_at(self: &Rc<Self>, target: &Incarnation, handle: &str) {
         if self.results.borrow().contains_key(handle) {
-            return self.give_up(handle);
+            return self.release(handle);
         }
         let worker = self.workers.borrow().worker(target);
         if let Some(worker) = worker {
-            self.free_soon(worker, handle);
+            self.schedule_release(worker, handle);
         }
     }
 
-    fn free_soon(self: &Rc<Self>, worker: WorkerKey, handle: &str) {
-        let mut spent = self.spent.borrow_mut();
-        spent.entry(worker).or_default().push(handle.to_string());
-        if self.is_freeing.replace(true) {
+    fn schedule_release(self: &Rc<Self>, worker: WorkerKey, handle: &str) {
+        let mut pending_releases = self.pending_releases.borrow_mut();
+        pending_releases
+            .entry(worker)
+            .or_default()
+            .push(handle.to_string());
+        if self.is_releasing.replace(true) {
             return;
         }
         let batcher = self.clone();
         actix_rt::spawn(async move {
-            let mut pause = FREE_AFTER;
-            while !batcher.spent.borrow().is_empty() {
-                tokio::time::sleep(pause).await;
-                batcher.free_spent();
-                pause = FREE_AGAIN_AFTER;
+            let mut delay = RELEASE_DELAY;
+            while !batcher.pending_releases.borrow().is_empty() {
+                tokio::time::sleep(delay).await;
+                batcher.send_releases();
+                delay = RELEASE_RETRY_INTERVAL;
             }
-            batcher.is_freeing.set(false);
+            batcher.is_releasing.set(false);
         });
     }
 
-    /// Gives up what is spent, where the makers may get a call for that now.
-    fn free_spent(self: &Rc<Self>) {
+    /// Sends the pending releases to the workers whose limits allow a call now.
+    fn send_releases(self: &Rc<Self>) {
         let Some(cx) = self.cx.upgrade() else {
-            self.spent.borrow_mut().clear();
+            self.pending_releases.borrow_mut().clear();
             return;
         };
         let now = cx.clock.now();
-        let mut spent = self.spent.borrow_mut();
+        let mut pending_releases = self.pending_releases.borrow_mut();
         let mut queue = self.queue.borrow_mut();
-        let makers: Vec<WorkerKey> = spent.keys().copied().collect();
-        let open: Vec<WorkerKey> = makers
+        let workers: Vec<WorkerKey> = pending_releases.keys().copied().collect();
+        let open: Vec<WorkerKey> = workers
             .into_iter()
-            .filter(|maker| queue.begin_free(*maker, now))
+            .filter(|worker| queue.begin_free(*worker, now))
             .collect();
         drop(queue);
         for worker in open {
-            let handles = spent.remove(&worker).unwrap_or_default();
+            let handles = pending_releases.remove(&worker).unwrap_or_default();
             let target = self.workers.borrow().target(worker);
             if let Some(target) = target {
-                actix_rt::spawn(call::free(cx.clone(), target, handles));
+                actix_rt::spawn(call::release(cx.clone(), target, handles));
             }
         }
-        drop(spent);
+        drop(pending_releases);
         self.pump();
     }
 }
--- a/crates/gateway/src/pools/batcher/workers.rs
+++ b/crates/gateway/src/pools/batcher/workers.rs
@@ -1,4 +1,4 @@
-//! The targets that make the pieces of a queue, as its workers.
+//! The workers of a queue: the targets of its group, by their keys in the queue.
 
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -11,67 +11,67 @@
 use super::Batcher;
 use crate::traffic::Traffic;
 
-/// Targets by the keys that the queue knows them by.
+/// Targets and halls by the keys that the queue uses.
 #[derive(Default)]
 pub(super) struct Workers {
     pub by_incarnation: HashMap<Incarnation, WorkerKey>,
-    /// Also those that get nothing new: their calls and results are not over.
+    /// Includes workers that get no new calls but may still run calls or retain results.
     targets: SecondaryMap<WorkerKey, Rc<Target>>,
     halls: Vec<String>,
 }
 
 impl Workers {
-    /// The number of a hall.
+    /// Returns the key of a hall, added if new.
     pub fn hall(&mut self, name: &str) -> HallKey {
         let known = self.halls.iter().position(|hall| hall == name);
-        let at = known.unwrap_or_else(|| {
+        let index = known.unwrap_or_else(|| {
             self.halls.push(name.to_string());
             self.halls.len() - 1
         });
-        HallKey(at as u16)
+        HallKey(index as u16)
     }
 
-    /// The target behind a worker.
     pub fn target(&self, worker: WorkerKey) -> Option<Rc<Target>> {
         self.targets.get(worker).cloned()
     }
 
-    /// The worker that a target is, as long as it may get new work.
+    /// Returns the worker of a target that may get new calls.
     pub fn worker(&self, target: &Incarnation) -> Option<WorkerKey> {
         self.by_incarnation.get(target).copied()
     }
 }
 
 impl Batcher {
-    /// A worker gets no call while its target wants nothing from this entry.
-    pub(in crate::pools) fn heed_rest(&self, cx: &Traffic, worker: WorkerKey, target: &Target) {
+    /// Stops calls to a worker while its target is backing off.
+    pub(in crate::pools) fn apply_backoff(&self, cx: &Traffic, worker: WorkerKey, target: &Target) {
         if let Some(until) = cx.rests_until(target) {
             self.queue.borrow_mut().rest(worker, until);
         }
     }
 
-    /// Takes the targets that may get new work.
-    pub fn take_targets(self: &Rc<Self>, cx: &Rc<Traffic>, targets: &[Rc<Target>]) {
+    /// Updates the set of targets that may get new calls.
+    pub fn update_targets(self: &Rc<Self>, cx: &Rc<Traffic>, targets: &[Rc<Target>]) {
         let mut workers = self.workers.borrow_mut();
         let mut queue = self.queue.borrow_mut();
-        let present: HashSet<&Incarnation> = targets.iter().map(|t| t.incarnation()).collect();
+        let present: HashSet<&Incarnation> =
+            targets.iter().map(|target| target.incarnation()).collect();
         workers.by_incarnation.retain(|id, key| {
-            let stays = present.contains(id);
-            if !stays {
+            let is_kept = present.contains(id);
+            if !is_kept {
                 queue.remove_worker(*key);
             }
-            stays
+            is_kept
         });
         for target in targets {
             let known = workers.worker(target.incarnation());
             let key = known.unwrap_or_else(|| {
                 let hall = workers.hall(&target.record.hall);
                 let key = queue.add_worker(hall);
-                let start = target.incarnation().clone();
-                workers.by_incarnation.insert(start, key);
+                let incarnation = target.incarnation().clone();
+                workers.by_incarnation.insert(incarnation, key);
                 key
             });
-            // Its record may say something new.
+            // The record may have changed.
             workers.targets.insert(key, target.clone());
             queue.set_limit(key, target.limit.get());
         }
@@ -82,7 +82,7 @@
         for target in targets {
             let worker = self.workers.borrow().worker(target.incarnation());
             if let Some(worker) = worker {
-                self.heed_rest(cx, worker, target);
+                self.apply_backoff(cx, worker, target);
             }
         }
         self.pump_soon();
--- a/crates/gateway/src/pools/call.rs
+++ b/crates/gateway/src/pools/call.rs
@@ -1,4 +1,7 @@
 //! One call to a target of a stage service.
+//!
+//! Sends the pieces that were batched for a worker, delivers each result or failure, and
+//! requeues the pieces that were left without one. Also releases results at their producers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,50 +17,48 @@
 use snafu::Snafu;
 
 use super::batcher::Batcher;
-use super::worker_end;
+use super::worker_crash;
 use crate::metrics;
 use crate::target_calls;
 use crate::traffic::Traffic;
 
-/// Longest time for a call. Its pieces go to other targets long before, when
-/// they are overdue; this only bounds how long a silent target holds a place.
-const CALL_WITHIN: Duration = Duration::from_secs(4);
-/// Longest time for a call that gives results up.
-const FREE_WITHIN: Duration = Duration::from_secs(1);
-/// Longest answer read.
-const MOST_ANSWER_BYTES: usize = 256 << 10;
-/// Times that a piece is made again after a failure.
-const MOST_FAILURES: u32 = 4;
+/// Bounds how long a hung target occupies a slot; overdue pieces go to other targets earlier.
+const CALL_TIMEOUT: Duration = Duration::from_secs(4);
+/// Timeout of a call that releases results.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(1);
+const MAX_RESPONSE_BYTES: usize = 256 << 10;
+/// Failed attempts after which a piece fails for good.
+const MAX_FAILURES: u32 = 4;
 
-/// Workers that may end under pieces of one request alone until its stages are given up:
-/// one may end for its own reasons.
-const MOST_ENDED_ALONE: u32 = 2;
+/// Worker crashes in calls with pieces of one request only after which the piece fails for
+/// good. A single crash may be unrelated to the request.
+const MAX_CRASHES_ALONE: u32 = 2;
 
-/// Why a call gave no results.
+/// Why a call returned no results.
 #[derive(Debug, Snafu)]
 enum CallError {
     #[snafu(display("{source}"))]
     Send {
         source: hollowsail_connect::SendError,
     },
-    #[snafu(display("the answer broke off: {source}"))]
+    #[snafu(display("connection lost before the end of the response: {source}"))]
     CutOff {
         source: hollowsail_connect::BodyError,
     },
-    #[snafu(display("no answer within {} ms", CALL_WITHIN.as_millis()))]
-    Silent,
-    #[snafu(display("refused with status {status}"))]
+    #[snafu(display("no response within {} ms", CALL_TIMEOUT.as_millis()))]
+    TimedOut,
+    #[snafu(display("refused by the target with status {status}"))]
     Refused { status: StatusCode },
     #[snafu(display("unexpected status {status}"))]
     Status { status: StatusCode },
-    #[snafu(display("unreadable results: {source}"))]
+    #[snafu(display("malformed results: {source}"))]
     Malformed { source: serde_json::Error },
-    #[snafu(display("an answer with {got} results for {asked} pieces"))]
-    Count { got: usize, asked: usize },
+    #[snafu(display("response has {got} results for {expected} pieces"))]
+    Count { got: usize, expected: usize },
 }
 
 impl CallError {
-    /// True when the connection ended before the answer did.
+    /// Returns true if the connection was lost after the call was sent.
     fn is_cut_off(&self) -> bool {
         match self {
             CallError::Send { source } => !source.nothing_sent(),
@@ -67,56 +68,57 @@
     }
 }
 
-/// Makes the call and hands each piece its end.
+/// Makes the call and delivers the outcome of each of its pieces.
 pub(super) async fn run(
     cx: Rc<Traffic>,
     batcher: Rc<Batcher>,
     started: StartedCall,
     target: Rc<Target>,
 ) {
-    let begun = cx.clock.now();
-    let sent = Moment::now();
-    let asked = pieces_of(&batcher, &started);
-    let result = match tokio::time::timeout(CALL_WITHIN, exchange(&cx, &target, &asked)).await {
-        Ok(result) => result,
-        Err(_) => Err(CallError::Silent),
-    };
-    let took = Duration::from_millis(cx.clock.now() - begun);
-    tell_end(&cx, &batcher, &target, asked.len(), took, &result);
-    if let Some(outcome) = outcome_of(took, &result).filter(|_| !asked.is_empty()) {
+    let begun_ms = cx.clock.now();
+    let sent_at = Moment::now();
+    let sent_pieces = awaited_pieces(&batcher, &started);
+    let result =
+        match tokio::time::timeout(CALL_TIMEOUT, exchange(&cx, &target, &sent_pieces)).await {
+            Ok(result) => result,
+            Err(_) => Err(CallError::TimedOut),
+        };
+    let took = Duration::from_millis(cx.clock.now() - begun_ms);
+    record_end(&cx, &batcher, &target, sent_pieces.len(), took, &result);
+    if let Some(outcome) = outcome_of(took, &result).filter(|_| !sent_pieces.is_empty()) {
         cx.rollouts.observe("pieces", &target, outcome);
     }
     let end = match &result {
-        // Nobody was asked: it says nothing of the worker.
-        Ok(_) if asked.is_empty() => CallEnd::Refused,
+        // Nothing was sent, so this is no evidence about the worker.
+        Ok(_) if sent_pieces.is_empty() => CallEnd::Refused,
         Ok(_) => CallEnd::Answered,
         Err(CallError::Refused { .. }) => CallEnd::Refused,
         Err(_) => CallEnd::Failed,
     };
     if end == CallEnd::Failed {
-        batcher.keep_unknown(&started);
+        batcher.retain_unanswered(&started);
     }
     if result.as_ref().is_err_and(CallError::is_cut_off) {
-        worker_end::look(&cx, &batcher, &target, &asked, sent).await;
+        worker_crash::check_crash(&cx, &batcher, &target, &sent_pieces, sent_at).await;
     }
     if let (Ok(results), CallEnd::Answered) = (result, end) {
-        hand_out(&cx, &batcher, &started, &target, &asked, results);
+        deliver_results(&cx, &batcher, &started, &target, &sent_pieces, results);
     }
-    let left = batcher
+    let unfinished = batcher
         .queue
         .borrow_mut()
         .end_call(started.call, end, cx.clock.now());
-    batcher.heed_rest(&cx, started.worker, &target);
-    give_back(&cx, &batcher, left, end);
+    batcher.apply_backoff(&cx, started.worker, &target);
+    requeue_unfinished(&cx, &batcher, unfinished, end);
     batcher.pump();
 }
 
-/// What a call shows of its worker's version, if anything.
+/// Evidence that a call gives about its worker's version, if any.
 fn outcome_of(took: Duration, result: &Result<Vec<PieceResult>, CallError>) -> Option<Outcome> {
     let ms = took.as_secs_f64() * 1_000.0;
     match result {
         Ok(_) => Some(Outcome::Answered(ms)),
-        Err(CallError::Silent) => Some(Outcome::Silent(ms)),
+        Err(CallError::TimedOut) => Some(Outcome::Silent(ms)),
         Err(CallError::Refused { .. }) => None,
         Err(err @ CallError::Send { .. }) => err.is_cut_off().then_some(Outcome::Broken),
         Err(CallError::CutOff { .. }) => Some(Outcome::Broken),
@@ -124,8 +126,8 @@
     }
 }
 
-/// Writes the log line and counts the metric of a call.
-fn tell_end(
+/// Logs the end of a call and counts it in the metrics.
+fn record_end(
     cx: &Traffic,
     batcher: &Batcher,
     target: &Target,
@@ -150,22 +152,22 @@
     );
 }
 
-/// A piece as it goes into a call.
-pub(super) struct Asked {
+/// A piece that is part of a call.
+pub(super) struct CallPiece {
     pub started: StartedPiece,
     piece: Piece,
     pub request: RequestDigest,
 }
 
-/// The pieces of a call that somebody still waits for; one may be given up
-/// between the choice and the call.
-fn pieces_of(batcher: &Batcher, started: &StartedCall) -> Vec<Asked> {
+/// Returns the pieces that are still awaited; a piece may be cancelled between scheduling
+/// and the call.
+fn awaited_pieces(batcher: &Batcher, started: &StartedCall) -> Vec<CallPiece> {
     let queue = batcher.queue.borrow();
     let pieces = started.pieces.iter();
     pieces
         .filter_map(|started| {
             let job = queue.job(started.key)?;
-            Some(Asked {
+            Some(CallPiece {
                 started: *started,
                 piece: job.piece.clone(),
                 request: job.request,
@@ -177,81 +179,84 @@
 async fn exchange(
     cx: &Rc<Traffic>,
     target: &Target,
-    asked: &[Asked],
+    sent_pieces: &[CallPiece],
 ) -> Result<Vec<PieceResult>, CallError> {
-    if asked.is_empty() {
+    if sent_pieces.is_empty() {
         return Ok(Vec::new());
     }
-    let req = pieces::run_call(target.incarnation(), asked.iter().map(|asked| &asked.piece));
-    let answer = target_calls::call(cx, target, req, MOST_ANSWER_BYTES)
+    let req = pieces::run_call(
+        target.incarnation(),
+        sent_pieces.iter().map(|sent| &sent.piece),
+    );
+    let answer = target_calls::call(cx, target, req, MAX_RESPONSE_BYTES)
         .await
         .map_err(|source| CallError::Send { source })?;
     let status = answer.status;
-    let whole = answer.body.map_err(|source| CallError::CutOff { source })?;
+    let body = answer.body.map_err(|source| CallError::CutOff { source })?;
     if answer.head.not_run {
         return Err(CallError::Refused { status });
     }
     if status != StatusCode::OK {
         return Err(CallError::Status { status });
     }
-    let json = whole.ok_or(CallError::Status { status })?;
+    let json = body.ok_or(CallError::Status { status })?;
     let results = pieces::read_results(&json).map_err(|source| CallError::Malformed { source })?;
-    if results.len() != asked.len() {
+    if results.len() != sent_pieces.len() {
         return Err(CallError::Count {
             got: results.len(),
-            asked: asked.len(),
+            expected: sent_pieces.len(),
         });
     }
     Ok(results)
 }
 
-/// Hands each piece of an answered call its result.
-fn hand_out(
+/// Delivers the results of an answered call.
+fn deliver_results(
     cx: &Rc<Traffic>,
     batcher: &Rc<Batcher>,
     started: &StartedCall,
     target: &Target,
-    asked: &[Asked],
+    sent_pieces: &[CallPiece],
     results: Vec<PieceResult>,
 ) {
     for piece in &started.pieces {
-        if !asked.iter().any(|asked| asked.started.key == piece.key) {
+        if !sent_pieces.iter().any(|sent| sent.started.key == piece.key) {
             let mut queue = batcher.queue.borrow_mut();
             queue.free(started.worker, piece.result_bytes);
         }
     }
-    for (asked, result) in asked.iter().zip(results) {
+    for (sent, result) in sent_pieces.iter().zip(results) {
         match result {
-            PieceResult::Made(handle) => batcher.made(asked.started, started, target, handle),
+            PieceResult::Made(handle) => batcher.completed(sent.started, started, target, handle),
             PieceResult::Failed(failure) => {
-                piece_failed(cx, batcher, started.worker, target, asked, failure);
+                piece_failed(cx, batcher, started.worker, target, sent, failure);
             }
         }
     }
 }
 
-/// Takes the failure of one piece of a call that was answered.
+/// Handles the failure of one piece in an answered call.
 fn piece_failed(
     cx: &Rc<Traffic>,
     batcher: &Batcher,
     worker: WorkerKey,
     target: &Target,
-    asked: &Asked,
+    sent: &CallPiece,
     failure: PieceFailure,
 ) {
-    let StartedPiece { key, result_bytes } = asked.started;
+    let StartedPiece { key, result_bytes } = sent.started;
     let mut queue = batcher.queue.borrow_mut();
     queue.free(worker, result_bytes);
     match failure {
         PieceFailure::NoRoom => queue.no_room(worker, cx.clock.now()),
-        // Failures of the work are counted, for each piece on its own.
+        // Every other failure counts towards the limit of the piece.
         _ => queue
             .job_mut(key)
             .into_iter()
             .for_each(|job| job.failures += 1),
     }
     drop(queue);
-    let piece = &asked.piece;
+    let piece = &sent.piece;
     cx.log.line(
         events::PIECE_FAILED,
         format_args!(
@@ -267,17 +272,22 @@
     }
 }
 
-/// Pieces that a call left unmade wait again, unless they failed too often.
-fn give_back(cx: &Traffic, batcher: &Rc<Batcher>, left: Vec<PieceKey>, end: CallEnd) {
-    for key in left {
+/// Requeues the pieces that a call left unfinished, unless they failed too often.
+fn requeue_unfinished(
+    cx: &Traffic,
+    batcher: &Rc<Batcher>,
+    unfinished: Vec<PieceKey>,
+    end: CallEnd,
+) {
+    for key in unfinished {
         let mut queue = batcher.queue.borrow_mut();
-        let may_go_on = queue.job_mut(key).is_some_and(|job| {
+        let may_retry = queue.job_mut(key).is_some_and(|job| {
             job.failures += u32::from(end == CallEnd::Failed);
-            job.failures < MOST_FAILURES
-                && job.ended_alone < MOST_ENDED_ALONE
+            job.failures < MAX_FAILURES
+                && job.crashes_alone < MAX_CRASHES_ALONE
                 && cx.crashes.judge(cx, || job.request).is_ok()
         });
-        if may_go_on {
+        if may_retry {
             queue.requeue(key);
             continue;
         }
@@ -286,18 +296,19 @@
     }
 }
 
-/// Gives results up at the target that made them. Best effort: the target
-/// drops them by itself after a while. One that wants nothing now is told later.
-pub(super) async fn free(cx: Rc<Traffic>, target: Rc<Target>, handles: Vec<String>) {
+/// Releases results at their producer, after its backoff if it is backing off. Best effort:
+/// the producer also drops them after its retention time.
+pub(super) async fn release(cx: Rc<Traffic>, target: Rc<Target>, handles: Vec<String>) {
     if let Some(until) = cx.rests_until(&target) {
         tokio::time::sleep_until(cx.clock.timer(until).into()).await;
     }
     let req = pieces::free_call(target.incarnation(), &handles);
-    let call = target_calls::call(&cx, &target, req, MOST_ANSWER_BYTES);
-    if tokio::time::timeout(FREE_WITHIN, call).await.is_err() {
+    let call = target_calls::call(&cx, &target, req, MAX_RESPONSE_BYTES);
+    if tokio::time::timeout(RELEASE_TIMEOUT, call).await.is_err() {
         log::debug!(
-            "results at {} were not given up in time",
-            target.record.addr
+            "results at {} not released within {} ms; the target drops them after its retention time",
+            target.record.addr,
+            RELEASE_TIMEOUT.as_millis()
         );
     }
 }
--- a/crates/gateway/src/pools/mod.rs
+++ b/crates/gateway/src/pools/mod.rs
@@ -1,15 +1,14 @@
-//! The stage services as this entry uses them.
+//! Production of pieces by the targets of stage services.
 //!
-//! The targets of a stage service are split into queues of a few targets each,
-//! and each queue has one owner among the entries ([`crate::peers`]), so that
-//! pieces of all entries share calls. [`Pools::make`] hands a piece to its
-//! owner; the owner's [`Batcher`] makes it. A lost owner is made up for by the
-//! next one: a piece made twice costs time only.
+//! The targets of a service are split into queues. Each queue is owned by one entry
+//! ([`crate::peers`]), so that pieces of all entries share calls. [`Pools::make`] sends a piece
+//! to its owner, whose [`Batcher`] has it produced. If the owner is lost, the piece goes to the
+//! next owner; producing a piece twice is harmless.
 
 mod batcher;
 mod call;
-mod held;
-mod worker_end;
+mod retained;
+mod worker_crash;
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -29,71 +28,65 @@
 use crate::target_group::TargetGroup;
 use crate::traffic::Traffic;
 
-use batcher::LocalEnd;
+use batcher::LocalOutcome;
 
 pub use batcher::Batcher;
-pub use held::HeldResult;
+pub use retained::HeldResult;
 
-/// Targets in a queue at most: enough that one is nearly always about to be
-/// free in the hall where a result is wanted, and that a service whose targets come
-/// back one by one isn't split anew meanwhile; few enough for one owner's processor
-/// and link at a service of hundreds.
-const QUEUE_TARGETS: usize = 64;
-/// Age at which an owner's word on its queue is of no use, in milliseconds:
-/// about the time in which a whole queue turns over.
-const LOAD_AGE_MS: Millis = 600;
-/// Owners that a piece is handed to at most.
-const MOST_OWNERS: u32 = 8;
+/// Maximum targets in a queue: enough that one in the preferred hall is usually about to
+/// become free, few enough for one owner to serve.
+const MAX_QUEUE_TARGETS: usize = 64;
+/// Age past which a peer's load report is ignored; a queue turns over in about this time.
+const LOAD_TTL_MS: Millis = 600;
+/// Maximum owners that a piece is sent to, one after the other.
+const MAX_OWNERS: u32 = 8;
 
-/// What a request gets for a piece.
+/// Outcome of producing a piece.
 pub type PieceEnd = Result<HeldResult, PieceFailure>;
 
-/// A piece to make.
+/// A piece to produce.
 #[derive(Debug, Clone)]
 pub struct Wanted {
     pub piece: Piece,
-    /// What makes its request the same as another one.
+    /// Digest of its request's content; equal requests have equal digests.
     pub request: RequestDigest,
     /// 0 is the most urgent.
     pub priority: u8,
-    /// When it should be made.
+    /// Time by which it should be complete.
     pub due: Millis,
-    /// When it is of no use any more.
+    /// Time past which its result is useless.
     pub expires: Millis,
-    /// About the size of its result.
+    /// Estimated size of its result.
     pub result_bytes: u64,
-    /// The results that it starts from are large.
+    /// Whether its inputs are large results.
     pub holds_inputs: bool,
-    /// Data hall where the result is wanted.
+    /// Preferred data hall of the result.
     pub hall: Option<String>,
-    /// Data halls in which it may be made; `None` where that is all.
+    /// Data halls in which it may be produced; `None` means all.
     pub halls: Option<Vec<String>>,
 }
 
-/// Batchers of the queues that this entry owns or owned.
+/// The batchers of queues that this entry owns or used to own, and the load of other queues.
 #[derive(Default)]
 pub struct Pools {
     batchers: RefCell<HashMap<String, Rc<Batcher>>>,
-    /// What owners told of their queues, and when.
+    /// Load reports of owners, with the time of receipt.
     loads: RefCell<HashMap<String, (Millis, QueueLoad)>>,
-    pieces: Cell<u64>,
+    last_piece_id: Cell<u64>,
 }
 
-/// The queue that a request's pieces of a service go to, by the name of its group of
-/// workers.
+/// Name of the queue that a request's pieces go to.
 fn queue_for(cx: &Traffic, service: &str, request_id: &str) -> String {
     let targets = cx.target_count(service);
-    TargetGroup::for_key(targets, QUEUE_TARGETS, request_id).name(service)
+    TargetGroup::for_key(targets, MAX_QUEUE_TARGETS, request_id).name(service)
 }
 
-/// The targets of a queue.
-fn targets_of(cx: &Traffic, service: &str, group: TargetGroup) -> Vec<Rc<Target>> {
+fn queue_targets(cx: &Traffic, service: &str, group: TargetGroup) -> Vec<Rc<Target>> {
     let targets = cx.targets_named(service);
     let in_use = cx.rollouts.in_use_by_count(cx, service, &targets);
-    group.targets(&in_use, QUEUE_TARGETS)
+    group.targets(&in_use, MAX_QUEUE_TARGETS)
 }
 
-/// The owner of a queue.
 fn owner_of(cx: &Rc<Traffic>, queue: &str) -> Owner {
     match cx.has(Mechanism::SharedQueues) {
         true => cx.peers.owner_of(cx, queue),
@@ -102,7 +95,7 @@
 }
 
 impl Pools {
-    /// Has a piece made. Dropping the future gives it up.
+    /// Has a piece produced by the owner of its queue. Dropping the future cancels it.
     pub async fn make(
         &self,
         cx: &Rc<Traffic>,
@@ -112,26 +105,26 @@
     ) -> PieceEnd {
         let name = &deployment.service(service).name;
         cx.peers.settled(cx).await;
-        for _ in 0..MOST_OWNERS {
+        for _ in 0..MAX_OWNERS {
             let queue = queue_for(cx, name, &wanted.piece.request_id);
             match owner_of(cx, &queue) {
                 Owner::Me => {
                     let batcher = self.batcher(cx, &queue).ok_or(PieceFailure::Failed)?;
                     match batcher.make(wanted.clone()).await {
-                        LocalEnd::Made(held) => return Ok(held),
-                        LocalEnd::Failed(failure) => return Err(failure),
-                        LocalEnd::Moved => {}
+                        LocalOutcome::Completed(result) => return Ok(result),
+                        LocalOutcome::Failed(failure) => return Err(failure),
+                        LocalOutcome::Moved => {}
                     }
                 }
                 Owner::Peer(link) => {
-                    let asked = self.message(cx, &queue, &wanted);
-                    match link.make(asked).await {
+                    let message = self.message(cx, &queue, &wanted);
+                    match link.make(message).await {
                         Ok(peers::PieceEnd::Made(made)) => {
                             let bytes = wanted.result_bytes;
-                            return Ok(HeldResult::at_peer(link, queue, made, bytes));
+                            return Ok(HeldResult::remote(link, queue, made, bytes));
                         }
                         Ok(peers::PieceEnd::Failed(failure)) => return Err(failure),
-                        // The next owner in order gets it.
+                        // Try the next owner.
                         Ok(peers::PieceEnd::Moved) | Err(_) => {}
                     }
                 }
@@ -141,8 +134,8 @@
     }
 
     fn message(&self, cx: &Traffic, queue: &str, wanted: &Wanted) -> MakePiece {
-        let number = self.pieces.get() + 1;
-        self.pieces.set(number);
+        let number = self.last_piece_id.get() + 1;
+        self.last_piece_id.set(number);
         let now = cx.clock.now();
         MakePiece {
             id: PieceId(number),
@@ -159,15 +152,14 @@
         }
     }
 
-    /// An owner told what its queue has to do.
+    /// Stores an owner's report of its queue's load.
     pub fn take_load(&self, cx: &Traffic, queue: String, load: QueueLoad) {
         self.loads
             .borrow_mut()
             .insert(queue, (cx.clock.now(), load));
     }
 
-    /// What the queue of a request's pieces has to do, if that is known and not
-    /// too old.
+    /// Returns the load of the queue of a request's pieces, unless unknown or outdated.
     pub fn load(&self, cx: &Rc<Traffic>, service: &str, request_id: &str) -> Option<QueueLoad> {
         let now = cx.clock.now();
         let queue = queue_for(cx, service, request_id);
@@ -176,11 +168,12 @@
             return batcher.map(|batcher| batcher.queue.borrow().load(now));
         }
         let loads = self.loads.borrow();
-        let (told, load) = loads.get(&queue)?;
-        (now - told <= LOAD_AGE_MS).then(|| load.clone())
+        let (received, load) = loads.get(&queue)?;
+        (now - received <= LOAD_TTL_MS).then(|| load.clone())
     }
 
-    /// The batcher of a queue; `None` when its service makes no pieces.
+    /// Returns the batcher of a queue, created if needed; `None` if its service produces no
+    /// pieces.
     fn batcher(&self, cx: &Rc<Traffic>, name: &str) -> Option<Rc<Batcher>> {
         if let Some(known) = self.batchers.borrow().get(name) {
             return Some(known.clone());
@@ -189,63 +182,63 @@
         let deployment = cx.deployment()?;
         let key = deployment.service_named(service)?;
         let pool = deployment.service(key).stage_pool.as_ref()?;
-        let made = Batcher::new(cx, name, pool);
-        made.take_targets(cx, &targets_of(cx, service, group));
+        let batcher = Batcher::new(cx, name, pool);
+        batcher.update_targets(cx, &queue_targets(cx, service, group));
         let mut batchers = self.batchers.borrow_mut();
-        batchers.insert(name.to_string(), made.clone());
-        Some(made)
+        batchers.insert(name.to_string(), batcher.clone());
+        Some(batcher)
     }
 
-    /// A peer hands a piece in.
-    pub fn take_piece(&self, cx: &Rc<Traffic>, from: &PeerRecord, asked: MakePiece) {
+    /// Accepts a piece from a peer, or sends it back if another entry should own the queue.
+    pub fn take_piece(&self, cx: &Rc<Traffic>, from: &PeerRecord, make: MakePiece) {
         let link = cx.peers.link_to(cx, from);
-        if cx.pace.get().is_slow() && matches!(owner_of(cx, &asked.queue), Owner::Peer(_)) {
-            link.send(Message::Ended(asked.id, peers::PieceEnd::Moved));
+        if cx.pace.get().is_slow() && matches!(owner_of(cx, &make.queue), Owner::Peer(_)) {
+            link.send(Message::Ended(make.id, peers::PieceEnd::Moved));
             return;
         }
-        let Some(batcher) = self.batcher(cx, &asked.queue) else {
-            // This entry doesn't know the service, or no longer.
+        let Some(batcher) = self.batcher(cx, &make.queue) else {
+            // The service isn't, or is no longer, in this entry's configuration.
             let end = peers::PieceEnd::Failed(PieceFailure::Failed);
-            link.send(Message::Ended(asked.id, end));
+            link.send(Message::Ended(make.id, end));
             return;
         };
         let now = cx.clock.now();
         let wanted = Wanted {
-            piece: asked.piece,
-            request: asked.request,
-            priority: asked.priority,
-            due: now.saturating_add_signed(asked.due_in_ms),
-            expires: now + asked.expires_in_ms,
-            result_bytes: asked.result_bytes,
-            holds_inputs: asked.holds_inputs,
-            hall: asked.hall,
-            halls: asked.halls,
+            piece: make.piece,
+            request: make.request,
+            priority: make.priority,
+            due: now.saturating_add_signed(make.due_in_ms),
+            expires: now + make.expires_in_ms,
+            result_bytes: make.result_bytes,
+            holds_inputs: make.holds_inputs,
+            hall: make.hall,
+            halls: make.halls,
         };
-        batcher.take_from_peer(link, asked.id, wanted);
+        batcher.accept_from_peer(link, make.id, wanted);
     }
 
-    /// A peer waits for a piece no longer, or left its result.
+    /// Cancels a peer's piece, or releases its result if the piece is complete.
     pub fn give_up_piece(&self, from: PeerId, id: PieceId) {
         let all = self.all();
         all.iter()
-            .for_each(|batcher| batcher.give_up_piece(from, id));
+            .for_each(|batcher| batcher.cancel_piece(from, id));
     }
 
-    /// A result is needed no longer, whoever had it made.
+    /// Releases a result of a queue, also one that an earlier owner had produced.
     pub fn free(&self, cx: &Rc<Traffic>, spent: &SpentResult) {
         if let Some(batcher) = self.batcher(cx, &spent.queue) {
-            batcher.free(&spent.target, &spent.handle);
+            batcher.release_at(&spent.target, &spent.handle);
         }
     }
 
-    /// A queue passed to this entry.
+    /// Takes over the state of a queue's workers from the previous owner.
     pub fn take_over(&self, cx: &Rc<Traffic>, queue: &str, workers: &[WorkerAtHandOver]) {
         if let Some(batcher) = self.batcher(cx, queue) {
             batcher.take_over(workers);
         }
     }
 
-    /// Passes queues on whose owner is another entry now.
+    /// Hands over the queues that another entry owns now.
     pub fn hand_over(&self, cx: &Rc<Traffic>) {
         for batcher in self.all() {
             if let Owner::Peer(link) = owner_of(cx, batcher.name()) {
@@ -254,43 +247,43 @@
         }
     }
 
-    /// A peer is lost: nobody waits for its pieces.
+    /// Cancels the pieces and releases the results of a lost peer.
     pub fn requester_lost(&self, peer: PeerId) {
         let all = self.all();
         all.iter().for_each(|batcher| batcher.requester_lost(peer));
     }
 
-    /// True when pieces are made, or results lie, at a worker of a service that fits.
-    pub fn has_work_at(&self, service: &str, fits: impl Fn(&Target) -> bool) -> bool {
+    /// Returns true if a matching worker of the service runs pieces or retains results.
+    pub fn has_work_at(&self, service: &str, matches: impl Fn(&Target) -> bool) -> bool {
         let of_service = |batcher: &Rc<Batcher>| {
             TargetGroup::parse(batcher.name()).is_some_and(|(name, _)| name == service)
         };
         let batchers = self.all();
         let mut batchers = batchers.iter().filter(|batcher| of_service(batcher));
-        batchers.any(|batcher| batcher.has_work_at(&fits))
+        batchers.any(|batcher| batcher.has_work_at(&matches))
     }
 
     fn all(&self) -> Vec<Rc<Batcher>> {
         self.batchers.borrow().values().cloned().collect()
     }
 
-    /// Takes the rules and targets of a new view over.
+    /// Applies the pool rules and targets of a new view.
     pub fn take_targets(&self, cx: &Rc<Traffic>) {
         self.take_targets_where(cx, |_| true);
     }
 
-    /// The same for one service.
+    /// Applies the pool rules and targets of one service.
     pub fn take_targets_of(&self, cx: &Rc<Traffic>, service: &str) {
         self.take_targets_where(cx, |known| known == service);
     }
 
-    fn take_targets_where(&self, cx: &Rc<Traffic>, is_concerned: impl Fn(&str) -> bool) {
+    fn take_targets_where(&self, cx: &Rc<Traffic>, is_affected: impl Fn(&str) -> bool) {
         let Some(deployment) = cx.deployment_in_use() else {
             return;
         };
         for batcher in self.all() {
             let parsed = TargetGroup::parse(batcher.name());
-            let Some((service, group)) = parsed.filter(|(service, _)| is_concerned(service)) else {
+            let Some((service, group)) = parsed.filter(|(service, _)| is_affected(service)) else {
                 continue;
             };
             let pool = deployment
@@ -299,12 +292,12 @@
             if let Some(pool) = &pool {
                 batcher.set_rules(pool);
             }
-            batcher.take_targets(cx, &targets_of(cx, service, group));
+            batcher.update_targets(cx, &queue_targets(cx, service, group));
         }
     }
 }
 
-/// The link back to a requester, and its number for the piece.
+/// A peer that requested a piece, and its id for the piece.
 pub(crate) struct Requester {
     pub link: Rc<Link>,
     pub id: PieceId,
--- a/crates/gateway/src/pools/held.rs
+++ b/crates/gateway/src/pools/retained.rs
@@ -1,36 +1,38 @@
-//! A result that lies at its maker until it is given up.
+//! A result that its producer retains until it is released.
+//!
+//! Dropping a [`HeldResult`] releases it through the owner of the queue that produced it.
 
 use std::rc::Rc;
 
 use super::batcher::Batcher;
 use crate::peers::{Link, Made, Message, SpentResult};
 
-/// Who is told when a result is given up.
+/// The owner of the queue that produced a result.
 enum Owner {
-    Here(Rc<Batcher>),
+    Local(Rc<Batcher>),
     Peer { link: Rc<Link>, queue: String },
 }
 
-/// A result; given up when dropped.
+/// A retained result, released when dropped.
 pub struct HeldResult {
     owner: Owner,
     made: Made,
-    /// About its size.
+    /// Estimated size.
     pub bytes: u64,
 }
 
 impl HeldResult {
-    /// A result of this entry's own queue.
-    pub(super) fn here(batcher: Rc<Batcher>, made: Made, bytes: u64) -> Self {
+    /// Creates a result of a queue that this entry owns.
+    pub(super) fn local(batcher: Rc<Batcher>, made: Made, bytes: u64) -> Self {
         HeldResult {
-            owner: Owner::Here(batcher),
+            owner: Owner::Local(batcher),
             made,
             bytes,
         }
     }
 
-    /// A result of a peer's queue.
-    pub(super) fn at_peer(link: Rc<Link>, queue: String, made: Made, bytes: u64) -> Self {
+    /// Creates a result of a queue that a peer owns.
+    pub(super) fn remote(link: Rc<Link>, queue: String, made: Made, bytes: u64) -> Self {
         HeldResult {
             owner: Owner::Peer { link, queue },
             made,
@@ -38,17 +40,17 @@
         }
     }
 
-    /// The name under which its maker keeps it.
+    /// Name of the result at its producer.
     pub fn handle(&self) -> &str {
         &self.made.handle
     }
 
-    /// Its maker.
+    /// Id of the target that produced it.
     pub fn maker(&self) -> &str {
         &self.made.target.id
     }
 
-    /// Data hall of its maker.
+    /// Data hall of its producer.
     pub fn hall(&self) -> &str {
         &self.made.hall
     }
@@ -57,7 +59,7 @@
 impl Drop for HeldResult {
     fn drop(&mut self) {
         match &self.owner {
-            Owner::Here(batcher) => batcher.give_up(&self.made.handle),
+            Owner::Local(batcher) => batcher.release(&self.made.handle),
             Owner::Peer { link, queue } => link.send(Message::Free(SpentResult {
                 queue: queue.clone(),
                 target: self.made.target.clone(),
--- a/crates/gateway/tests/suite/resting.rs
+++ b/crates/gateway/tests/suite/backoff.rs
@@ -1,4 +1,4 @@
-//! Targets that turn work away and say for how long they want none.
+//! Targets that refuse requests with Retry-After and get none until it has passed.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -13,8 +13,8 @@
     eventually, gateway, generation, one_event, runs, until_entries, Call, Fixture,
 };
 
-/// How long the targets here want nothing, in seconds.
-const REST_S: f64 = 1.5;
+/// Retry-After of the targets, in seconds.
+const BACKOFF_S: f64 = 1.5;
 
 fn deployment() -> DeploymentJson {
     let stages = json!([{ "service": "encoders", "after": [], "bytes": 1000 }]);
@@ -36,23 +36,23 @@
     Call::new("GET", "/a/x")
 }
 
-/// A target that turns everything away while it rests.
+/// A target that refuses everything with Retry-After while `is_full` is set.
 #[derive(Clone)]
-struct Resting {
+struct RefusingTarget {
     target: TargetStandin,
     is_full: Rc<Cell<bool>>,
 }
 
-impl Resting {
+impl RefusingTarget {
     async fn start(serve: fn(&Seen) -> Vec<Step>) -> Self {
         let is_full = Rc::new(Cell::new(false));
         let full = is_full.clone();
         let target = TargetStandin::start(move |seen| match full.get() {
-            true => vec![Step::Write(rests(REST_S))],
+            true => vec![Step::Write(rests(BACKOFF_S))],
             false => serve(seen),
         })
         .await;
-        Resting { target, is_full }
+        RefusingTarget { target, is_full }
     }
 }
 
@@ -69,97 +69,107 @@
 }
 
 #[actix_rt::test]
-async fn a_target_gets_nothing_until_its_rest_is_over() {
+async fn target_gets_nothing_during_backoff() {
     let fixture = Fixture::start(&deployment()).await;
-    let (tired, fresh) = (Resting::start(served).await, Resting::start(served).await);
-    fixture.add("i-1", "plain", &tired.target);
-    fixture.add("i-2", "plain", &fresh.target);
-    tired.is_full.set(true);
+    let (refusing, serving) = (
+        RefusingTarget::start(served).await,
+        RefusingTarget::start(served).await,
+    );
+    fixture.add("i-1", "plain", &refusing.target);
+    fixture.add("i-2", "plain", &serving.target);
+    refusing.is_full.set(true);
     for _ in 0..400 {
         fixture.call(&plain()).await;
-        if !tired.target.seen().is_empty() {
+        if !refusing.target.seen().is_empty() {
             break;
         }
     }
-    let (turned_away, begun) = (tired.target.seen().len(), Instant::now());
-    while begun.elapsed() < Duration::from_secs_f64(REST_S * 0.8) {
+    let (refused, begun) = (refusing.target.seen().len(), Instant::now());
+    while begun.elapsed() < Duration::from_secs_f64(BACKOFF_S * 0.8) {
         let got = plain().send(fixture.gateway.at.callers).await;
-        assert_eq!(got.status, 200, "the other one serves");
+        assert_eq!(got.status, 200, "the other target serves");
     }
-    assert_eq!(tired.target.seen().len(), turned_away, "it rests");
-    tired.is_full.set(false);
-    tokio::time::sleep(Duration::from_secs_f64(REST_S * 0.4)).await;
+    assert_eq!(
+        refusing.target.seen().len(),
+        refused,
+        "it got requests in its backoff"
+    );
+    refusing.is_full.set(false);
+    tokio::time::sleep(Duration::from_secs_f64(BACKOFF_S * 0.4)).await;
     for _ in 0..300 {
         plain().send(fixture.gateway.at.callers).await;
     }
-    assert!(tired.target.seen().len() > turned_away + 50, "it is back");
+    assert!(
+        refusing.target.seen().len() > refused + 50,
+        "it got too few requests after its backoff"
+    );
 }
 
 #[actix_rt::test]
-async fn where_all_rest_a_request_is_refused_at_once_until_the_first_is_back() {
+async fn all_backing_off_refuses_at_once() {
     let fixture = Fixture::start(&deployment()).await;
-    let tired = Resting::start(served).await;
-    fixture.add("i-1", "plain", &tired.target);
+    let refusing = RefusingTarget::start(served).await;
+    fixture.add("i-1", "plain", &refusing.target);
     fixture.call(&plain()).await;
-    tired.is_full.set(true);
+    refusing.is_full.set(true);
     plain().send(fixture.gateway.at.callers).await;
-    let turned_away = tired.target.seen().len();
+    let refused = refusing.target.seen().len();
     for _ in 0..10 {
-        let asked = Instant::now();
+        let sent = Instant::now();
         let got = plain().send(fixture.gateway.at.callers).await;
-        assert!(asked.elapsed() < Duration::from_millis(150));
+        assert!(sent.elapsed() < Duration::from_millis(150));
         assert_eq!(got.status, 503);
         let after: f64 = got
             .header("Retry-After")
             .and_then(|value| value.parse().ok())
-            .expect("when to come back");
+            .expect("a Retry-After header");
         assert!(
-            after > 0.5 && after <= REST_S,
-            "when the rest is over: {after}"
+            after > 0.5 && after <= BACKOFF_S,
+            "Retry-After must end with the backoff: {after} s"
         );
     }
-    assert_eq!(tired.target.seen().len(), turned_away);
+    assert_eq!(refusing.target.seen().len(), refused);
 }
 
-/// One target rests for long, and the other is cold and has had its share: that one takes
-/// the next request within a second, whatever the first asked for.
+/// The other target is warming up and takes the next request within a second, so callers must
+/// not get the Retry-After of the one that is backing off.
 #[actix_rt::test]
-async fn one_that_rests_for_long_sends_no_caller_away_for_as_long() {
+async fn long_backoff_does_not_set_retry_after() {
     let store = StoreStandin::start().await;
     let deployment = DeploymentJson::new(1)
         .service_with_cold_targets("plain", 4.0)
         .route("/a/", "safe", "plain", json!({}));
     store.put("op/config", &deployment.bytes());
-    let tired = TargetStandin::start(|_| vec![Step::Write(rests(30.0))]).await;
-    let cold = TargetStandin::start(served).await;
-    store.put_target("i-1", "plain", tired.addr, "hall-a", "ready");
-    store.put_cold_target("i-2", "plain", cold.addr, Duration::from_secs(9));
+    let refusing = TargetStandin::start(|_| vec![Step::Write(rests(30.0))]).await;
+    let warming_up = TargetStandin::start(served).await;
+    store.put_target("i-1", "plain", refusing.addr, "hall-a", "ready");
+    store.put_cold_target("i-2", "plain", warming_up.addr, Duration::from_secs(9));
     let gateway = gateway(&store, "host-1", "hall-a").await;
-    until_entries("the entry", &store, 1).await;
+    until_entries("the entry is recorded", &store, 1).await;
     tokio::time::sleep(Duration::from_millis(400)).await;
     for _ in 0..40 {
         let got = plain().send(gateway.at.callers).await;
-        if got.status != 503 || tired.seen().is_empty() {
+        if got.status != 503 || refusing.seen().is_empty() {
             continue;
         }
         let after: f64 = got
             .header("Retry-After")
             .and_then(|value| value.parse().ok())
-            .expect("when to come back");
-        let is_turned_away = got.body.starts_with("overloaded");
-        assert!(is_turned_away || after <= 1.0, "{after} s: {got:?}");
+            .expect("a Retry-After header");
+        let is_overloaded = got.body.starts_with("overloaded");
+        assert!(is_overloaded || after <= 1.0, "{after} s: {got:?}");
     }
-    assert_eq!(tired.seen().len(), 1, "it rests");
+    assert_eq!(refusing.seen().len(), 1, "it got requests in its backoff");
 }
 
-/// Whoever names engines for all entries isn't the one that an engine turned away.
+/// The entry that schedules an engine may not be the one that the engine refused.
 #[actix_rt::test]
-async fn an_engine_that_another_entrys_desk_would_name_gets_nothing() {
+async fn backoff_applies_at_remote_scheduler() {
     let store = StoreStandin::start().await;
     store.put("op/config", &deployment().bytes());
     let engines = [
-        Resting::start(streamed).await,
-        Resting::start(streamed).await,
+        RefusingTarget::start(streamed).await,
+        RefusingTarget::start(streamed).await,
     ];
     for (number, engine) in engines.iter().enumerate() {
         let id = format!("i-{number}");
@@ -178,27 +188,31 @@
     let used = engines
         .iter()
         .find(|engine| !engine.target.seen().is_empty());
-    let used = used.expect("one has the shared part");
+    let used = used.expect("one engine has the cached prefix");
     used.is_full.set(true);
     for (number, entry) in entries.iter().enumerate() {
         generation(10 + number).send(entry.at.callers).await;
     }
-    let turned_away = used.target.seen().len();
+    let refused = used.target.seen().len();
     for number in 0..24 {
-        let at = entries[number % 3].at.callers;
-        let got = generation(100 + number).send(at).await;
+        let addr = entries[number % 3].at.callers;
+        let got = generation(100 + number).send(addr).await;
         assert!(
             got.status == 200 && got.is_whole,
-            "the other serves: {got:?}"
+            "the other engine serves: {got:?}"
         );
     }
-    assert_eq!(used.target.seen().len(), turned_away, "it rests");
+    assert_eq!(
+        used.target.seen().len(),
+        refused,
+        "it got requests in its backoff"
+    );
 }
 
 #[actix_rt::test]
-async fn a_worker_of_stages_gets_no_call_while_it_rests() {
+async fn stage_worker_gets_no_call_in_backoff() {
     let (fixture, _engine) = Fixture::serving(&deployment(), "engines", one_event).await;
-    let worker = Resting::start(|seen| {
+    let worker = RefusingTarget::start(|seen| {
         vec![Step::Write(hollowsail_platform_standins::target::results(
             seen, "maker",
         ))]
@@ -206,32 +220,32 @@
     .await;
     fixture.add("i-2", "encoders", &worker.target);
     let staged = |number| staged(number).with("X-Deadline-Ms", "4000");
-    eventually_staged(&fixture, &staged(1)).await;
+    until_staged_served(&fixture, &staged(1)).await;
     worker.is_full.set(true);
     let before = runs(&worker.target).len();
-    let at = fixture.gateway.at.callers;
-    let waiting = actix_rt::spawn(async move { staged(2).send(at).await });
-    eventually("it turned a call away", || {
+    let addr = fixture.gateway.at.callers;
+    let waiting = actix_rt::spawn(async move { staged(2).send(addr).await });
+    eventually("the worker refused a call", || {
         runs(&worker.target).len() > before
     })
     .await;
     worker.is_full.set(false);
-    let (turned_away, begun) = (Instant::now(), runs(&worker.target).len());
-    let got = waiting.await.expect("it is answered");
+    let (refused_at, runs_before) = (Instant::now(), runs(&worker.target).len());
+    let got = waiting.await.expect("the request is answered");
     assert!(
         got.is_whole && got.status == 200,
-        "made after the rest: {got:?}"
+        "served after the backoff: {got:?}"
     );
-    assert!(turned_away.elapsed() >= Duration::from_secs_f64(REST_S * 0.9));
-    assert_eq!(runs(&worker.target).len(), begun + 1);
+    assert!(refused_at.elapsed() >= Duration::from_secs_f64(BACKOFF_S * 0.9));
+    assert_eq!(runs(&worker.target).len(), runs_before + 1);
 }
 
-async fn eventually_staged(fixture: &Fixture, call: &Call) {
+async fn until_staged_served(fixture: &Fixture, call: &Call) {
     for _ in 0..200 {
         if fixture.call(call).await.status == 200 {
             return;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    panic!("no request with stages was served");
+    panic!("no request with stages was served within 200 attempts");
 }
--- a/crates/gateway/tests/suite/main.rs
+++ b/crates/gateway/tests/suite/main.rs
@@ -1,20 +1,18 @@
 //! The daemon against small fakes of the platform, on loopback sockets.
 
 mod all_kinds;
-mod cold;
+mod backoff;
 mod crashing;
 mod emptied;
 mod fixture;
 mod forwarding;
 mod leaving;
 mod libraries;
-mod limited;
 mod limits;
 mod mechanisms;
 mod metrics;
 mod reading;
 mod regions;
-mod resting;
 mod returning;
 mod rollouts;
 mod sharing;
@@ -22,4 +20,6 @@
 mod starting_again;
 mod stopping;
 mod streams;
+mod target_limits;
 mod truth;
+mod warm_up;
--- a/crates/gateway/tests/suite/sharing.rs
+++ b/crates/gateway/tests/suite/sharing.rs
@@ -1,4 +1,4 @@
-//! Several gateways that share the targets of a stage service.
+//! Several gateways that share targets: one owner batches or schedules for all of them.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -33,12 +33,12 @@
         .body("prompt")
 }
 
-/// Lets three gateways share a worker; `before` changes what they know first.
-async fn share_a_worker(before: impl Fn(&StoreStandin)) {
-    share_a_worker_in_a_fleet(0, before).await;
+/// Has three gateways share a worker; `before` edits the store before the calls.
+async fn check_shared_worker(before: impl Fn(&StoreStandin)) {
+    check_shared_worker_in_fleet(0, before).await;
 }
 
-/// A worker that works 150 ms on each call, and counts calls that come meanwhile.
+/// A worker that takes 150 ms for each call and counts calls that overlap.
 struct SharedWorker {
     target: TargetStandin,
     overlaps: Rc<Cell<usize>>,
@@ -46,16 +46,16 @@
 
 impl SharedWorker {
     async fn start() -> Self {
-        let at_work = Rc::new(Cell::new(0));
+        let active = Rc::new(Cell::new(0));
         let overlaps = Rc::new(Cell::new(0));
-        let (busy, crossed) = (at_work.clone(), overlaps.clone());
+        let (busy, overlap_count) = (active.clone(), overlaps.clone());
         let target = TargetStandin::start(move |seen| {
             if seen.path != "/-/stage-run" {
                 return vec![Step::Write(results(seen, "maker"))];
             }
             busy.set(busy.get() + 1);
             if busy.get() > 1 {
-                crossed.set(crossed.get() + 1);
+                overlap_count.set(overlap_count.get() + 1);
             }
             let (busy, answer) = (busy.clone(), results(seen, "maker"));
             actix_rt::spawn(async move {
@@ -68,14 +68,14 @@
         SharedWorker { target, overlaps }
     }
 
-    /// Calls with pieces so far.
+    /// Number of calls with pieces so far.
     fn calls(&self) -> usize {
         runs(&self.target).len()
     }
 }
 
-/// A store with a worker and an engine, and so many entries of small hosts.
-async fn store_with_a_worker(others: usize) -> (StoreStandin, SharedWorker, TargetStandin) {
+/// Starts a store with a worker, an engine and `others` recorded entries on small hosts.
+async fn store_with_worker(others: usize) -> (StoreStandin, SharedWorker, TargetStandin) {
     let store = StoreStandin::start().await;
     (0..others).for_each(|number| put_small_entry(&store, number));
     store.put("op/config", &deployment().bytes());
@@ -92,22 +92,22 @@
     (store, worker, engine)
 }
 
-/// The same beside so many entries of small hosts.
-async fn share_a_worker_in_a_fleet(others: usize, before: impl Fn(&StoreStandin)) {
-    let (store, worker, _engine) = store_with_a_worker(others).await;
-    let [first, second, owner] = hosts_with_the_owner_last("encoders/0");
+/// Has three gateways share a worker in a fleet with `others` more entries on small hosts.
+async fn check_shared_worker_in_fleet(others: usize, before: impl Fn(&StoreStandin)) {
+    let (store, worker, _engine) = store_with_worker(others).await;
+    let [first, second, owner] = hosts_owner_last("encoders/0");
     let mut gateways = Vec::new();
     for (host, hall) in [(first, "hall-a"), (second, "hall-b"), (owner, "hall-c")] {
         gateways.push(gateway(&store, host, hall).await);
-        until_entries("it is recorded", &store, others + gateways.len()).await;
-        // Its own record is the first change that it hears of.
+        until_entries("the entry is recorded", &store, others + gateways.len()).await;
+        // Lets it receive its own record first.
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
     before(&store);
     tokio::time::sleep(Duration::from_millis(600)).await;
     let calls = (0..12).map(|number| {
-        let at = gateways[number % 3].at.callers;
-        async move { request(number).send(at).await }
+        let addr = gateways[number % 3].at.callers;
+        async move { request(number).send(addr).await }
     });
     for got in join_all(calls).await {
         assert!(got.is_whole, "{got:?}");
@@ -121,71 +121,88 @@
 }
 
 #[actix_rt::test]
-async fn a_gateway_that_has_just_started_waits_to_hear_of_those_that_start_with_it() {
-    let (store, worker, _engine) = store_with_a_worker(0).await;
-    let [first, _, owner] = hosts_with_the_owner_last("encoders/0");
+async fn new_gateway_waits_for_peers() {
+    let (store, worker, _engine) = store_with_worker(0).await;
+    let [first, _, owner] = hosts_owner_last("encoders/0");
     let one = gateway(&store, first, "hall-a").await;
     let early = request(1);
-    let at = one.at.callers;
-    let asked = actix_rt::spawn(async move { early.send(at).await });
+    let addr = one.at.callers;
+    let early_response = actix_rt::spawn(async move { early.send(addr).await });
     let other = gateway(&store, owner, "hall-b").await;
     let late = request(2).send(other.at.callers).await;
     assert!(late.is_whole, "{late:?}");
-    assert!(asked.await.expect("it is answered").is_whole);
-    assert_eq!(worker.overlaps.get(), 0, "both went to one owner");
+    assert!(
+        early_response
+            .await
+            .expect("the request is answered")
+            .is_whole
+    );
+    assert_eq!(
+        worker.overlaps.get(),
+        0,
+        "both requests must go to one owner"
+    );
 }
 
 #[actix_rt::test]
-async fn a_gateway_without_a_list_of_entries_waits_for_it() {
-    let (store, worker, _engine) = store_with_a_worker(0).await;
+async fn gateway_waits_for_list_of_entries() {
+    let (store, worker, _engine) = store_with_worker(0).await;
     (0..9).for_each(|number| put_entry(&store, "host-1", number));
     store.set_page_time(Duration::from_millis(350));
     let one = gateway(&store, "host-1", "hall-a").await;
-    let at = one.at.callers;
-    let patient = request(1).with("X-Deadline-Ms", "8000");
-    let asked = actix_rt::spawn(async move { patient.send(at).await });
+    let addr = one.at.callers;
+    let early = request(1).with("X-Deadline-Ms", "8000");
+    let early_response = actix_rt::spawn(async move { early.send(addr).await });
     eventually("a call is made", || worker.calls() > 0).await;
     let calls = store.calls();
     let is_page = |call: &&String| call.contains("kv-range") && call.contains("peers/");
     let pages = calls.iter().filter(is_page).count();
-    assert!(pages >= 3, "{pages} pages of nine runs before by then");
-    assert!(asked.await.expect("it is answered").is_whole);
+    assert!(
+        pages >= 3,
+        "{pages} pages of the list of entries read before the first call"
+    );
+    assert!(
+        early_response
+            .await
+            .expect("the request is answered")
+            .is_whole
+    );
 }
 
-/// Three hosts, the one that owns a queue last: the others start without it.
-fn hosts_with_the_owner_last(queue: &str) -> [&'static str; 3] {
+/// Returns three hosts, the owner of a queue last, so that the others start without it.
+fn hosts_owner_last(queue: &str) -> [&'static str; 3] {
     let mut hosts = ["host-1", "host-2", "host-3"];
     hosts.sort_by_key(|host| rendezvous::score(queue, *host));
     hosts
 }
 
-/// Records an entry of a host too small to own anything; nobody listens there.
+/// Records an entry that doesn't listen, on a host too small to own anything.
 fn put_small_entry(store: &StoreStandin, number: usize) {
     put_entry(store, &format!("small-{number}"), number);
 }
 
-/// Records a run of a host that has ended, and whose capacity is small.
+/// Records a run that has ended, of a host with little capacity.
 fn put_entry(store: &StoreStandin, host: &str, run: usize) {
-    let at = SocketAddr::from(([127, 0, 0, 1], 9));
+    let addr = SocketAddr::from(([127, 0, 0, 1], 9));
     put_entry_record(
         store,
-        &(run as u64 + 1, host.to_string(), at, "hall-a".into(), 1),
+        &(run as u64 + 1, host.to_string(), addr, "hall-a".into(), 1),
     );
 }
 
 #[actix_rt::test]
-async fn gateways_of_a_large_fleet_that_start_together_share_calls() {
-    share_a_worker_in_a_fleet(100, |_| {}).await;
+async fn large_fleet_starting_shares_calls() {
+    check_shared_worker_in_fleet(100, |_| {}).await;
 }
 
 #[actix_rt::test]
-async fn gateways_known_by_their_run_before_share_calls_all_the_same() {
-    share_a_worker(|store| {
+async fn records_of_earlier_runs_keep_calls_shared() {
+    check_shared_worker(|store| {
         for key in store.keys("hollowsail/peers/") {
-            let value = store.value(&key).expect("it is there");
+            let value = store.value(&key).expect("the key has a value");
             let mut record: EntryRecord = rmp_serde::from_slice(&value).expect("a record");
             record.0 ^= 1;
-            let stale = rmp_serde::to_vec(&record).expect("it encodes");
+            let stale = rmp_serde::to_vec(&record).expect("the record encodes");
             store.put(&format!("{key}-before"), &stale);
         }
     })
@@ -193,27 +210,27 @@
 }
 
 #[actix_rt::test]
-async fn a_gateway_that_leaves_is_passed_over_at_once() {
+async fn stopping_gateway_gets_no_pieces() {
     let store = StoreStandin::start().await;
     store.put("op/config", &deployment().bytes());
     let worker = TargetStandin::start(|seen| vec![Step::Write(results(seen, "maker"))]).await;
     let engine = TargetStandin::start(one_event).await;
     store.put_target("i-worker", "encoders", worker.addr, "hall-a", "ready");
     store.put_target("i-engine", "engines", engine.addr, "hall-a", "ready");
-    let stays = gateway(&store, "host-1", "hall-a").await;
-    let leaves = gateway(&store, "host-2", "hall-a").await;
-    until_entries("both are recorded", &store, 2).await;
-    let stopping = actix_rt::spawn(leaves.stop());
-    until_entries("its record is gone", &store, 1).await;
+    let remaining = gateway(&store, "host-1", "hall-a").await;
+    let stopping_gateway = gateway(&store, "host-2", "hall-a").await;
+    until_entries("both entries are recorded", &store, 2).await;
+    let stopping = actix_rt::spawn(stopping_gateway.stop());
+    until_entries("its record is removed", &store, 1).await;
     for number in 0..6 {
-        let got = request(number).send(stays.at.callers).await;
+        let got = request(number).send(remaining.at.callers).await;
         assert!(got.is_whole, "{got:?}");
     }
-    stopping.await.expect("it stops");
+    stopping.await.expect("the gateway stops");
 }
 
 #[actix_rt::test]
-async fn engines_are_placed_with_what_all_gateways_have_there() {
+async fn engine_load_of_all_gateways_counts() {
     let store = StoreStandin::start().await;
     let deployment =
         DeploymentJson::new(1)
@@ -236,17 +253,17 @@
         gateway(&store, "host-2", "hall-a").await,
         gateway(&store, "host-3", "hall-a").await,
     ];
-    until_entries("all are recorded", &store, 3).await;
+    until_entries("all entries are recorded", &store, 3).await;
     tokio::time::sleep(Duration::from_millis(600)).await;
-    // All share one part: each alone would choose the same engine.
+    // All prompts share a prefix: each gateway alone would choose the same engine.
     let calls = (0..12).map(|number| {
-        let at = gateways[number % 3].at.callers;
+        let addr = gateways[number % 3].at.callers;
         let call = Call::new("POST", "/plain/")
             .with("X-Request-Id", &format!("{number:016x}"))
             .with("X-Token-Counts", "9000,10")
             .with("X-Prompt-Prefix", "aa:300,bb:8700")
             .body("prompt");
-        async move { call.send(at).await }
+        async move { call.send(addr).await }
     });
     for got in join_all(calls).await {
         assert!(got.is_whole, "{got:?}");
@@ -254,12 +271,12 @@
     let spread: Vec<usize> = engines.iter().map(|target| target.seen().len()).collect();
     assert!(
         spread.iter().all(|seen| (2..=6).contains(seen)),
-        "{spread:?}"
+        "requests by engine: {spread:?}"
     );
 }
 
 #[actix_rt::test]
-async fn a_call_under_way_at_a_gateway_that_leaves_counts() {
+async fn call_at_stopping_gateway_is_not_repeated() {
     let store = StoreStandin::start().await;
     store.put("op/config", &deployment().bytes());
     let worker = TargetStandin::start(|seen| {
@@ -272,23 +289,23 @@
     store.put_target("i-engine", "engines", engine.addr, "hall-a", "ready");
     let one = gateway(&store, "host-1", "hall-a").await;
     let two = gateway(&store, "host-2", "hall-a").await;
-    until_entries("both are recorded", &store, 2).await;
+    until_entries("both entries are recorded", &store, 2).await;
     tokio::time::sleep(Duration::from_millis(300)).await;
     let calls = [one.at.callers, two.at.callers]
-        .map(|at| actix_rt::spawn(async move { request(at.port().into()).send(at).await }));
+        .map(|addr| actix_rt::spawn(async move { request(addr.port().into()).send(addr).await }));
     let calls_made = || runs(&worker).len();
-    eventually("a call is under way", || calls_made() > 0).await;
+    eventually("a call is in progress", || calls_made() > 0).await;
     let before = calls_made();
-    // Whichever owns the queue leaves; the other asked it, or is asked anew.
+    // Both stop, so the owner of the queue does, whichever it is.
     let stopping = [actix_rt::spawn(one.stop()), actix_rt::spawn(two.stop())];
     for call in calls {
-        assert!(call.await.expect("it is answered").is_whole);
+        assert!(call.await.expect("the request is answered").is_whole);
     }
     assert!(
         calls_made() <= before + 1,
-        "nothing that is under way is made again"
+        "a call in progress must not be repeated"
     );
     for stop in stopping {
-        stop.await.expect("it ends");
+        stop.await.expect("the gateway stops");
     }
 }
