--- a/crates/gateway/src/placement/mod.rs
+++ b/crates/gateway/src/placement/mod.rs
@@ -27,7 +27,7 @@
 use scheduler::{Decision, GroupScheduler, Reply};
 
 /// Maximum engines in a group. Each group caches a prefix separately, so larger groups need
-/// fewer prefills.
+/// fewer prefills; the bound is what one owner can schedule.
 const MAX_GROUP_ENGINES: usize = 512;
 /// Longest wait for a peer's scheduler; past it, a local choice costs less than waiting.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(40);
--- a/crates/gateway/src/pools/batcher/mod.rs
+++ b/crates/gateway/src/pools/batcher/mod.rs
@@ -146,7 +146,7 @@
     }
 
     /// Produces a piece. Dropping the future cancels it.
-    pub(super) async fn make(self: &Rc<Self>, wanted: Wanted) -> LocalOutcome {
+    pub(super) async fn produce(self: &Rc<Self>, wanted: Wanted) -> LocalOutcome {
         let (sender, result) = oneshot::channel();
         let key = self.push(wanted, Reply::Local(sender));
         let _submitted = SubmittedPiece {
--- a/crates/gateway/src/pools/mod.rs
+++ b/crates/gateway/src/pools/mod.rs
@@ -3,7 +3,7 @@
 //! The targets of a service are split into queues. Each queue is owned by one entry
 //! ([`crate::peers`]), so that pieces of all entries share calls. [`Pools::make`] sends a piece
 //! to its owner, whose [`Batcher`] has it produced. If the owner is lost, the piece goes to the
-//! next owner; producing a piece twice is harmless.
+//! next owner; producing a piece twice only costs time.
 
 mod batcher;
 mod call;
@@ -34,7 +34,7 @@
 pub use retained::HeldResult;
 
 /// Maximum targets in a queue: enough that one in the preferred hall is usually about to
-/// become free, few enough for one owner to serve.
+/// become free and that a recovering service isn't split again, few enough for one owner.
 const MAX_QUEUE_TARGETS: usize = 64;
 /// Age past which a peer's load report is ignored; a queue turns over in about this time.
 const LOAD_TTL_MS: Millis = 600;
@@ -110,7 +110,7 @@
             match owner_of(cx, &queue) {
                 Owner::Me => {
                     let batcher = self.batcher(cx, &queue).ok_or(PieceFailure::Failed)?;
-                    match batcher.make(wanted.clone()).await {
+                    match batcher.produce(wanted.clone()).await {
                         LocalOutcome::Completed(result) => return Ok(result),
                         LocalOutcome::Failed(failure) => return Err(failure),
                         LocalOutcome::Moved => {}
@@ -189,7 +189,8 @@
         Some(batcher)
     }
 
-    /// Accepts a piece from a peer, or sends it back if another entry should own the queue.
+    /// Accepts a piece from a peer. Sends it back if this entry is lagging and another one owns
+    /// the queue.
     pub fn take_piece(&self, cx: &Rc<Traffic>, from: &PeerRecord, make: MakePiece) {
         let link = cx.peers.link_to(cx, from);
         if cx.pace.get().is_slow() && matches!(owner_of(cx, &make.queue), Owner::Peer(_)) {
@@ -269,15 +270,15 @@
 
     /// Applies the pool rules and targets of a new view.
     pub fn take_targets(&self, cx: &Rc<Traffic>) {
-        self.take_targets_where(cx, |_| true);
+        self.update_targets_where(cx, |_| true);
     }
 
     /// Applies the pool rules and targets of one service.
     pub fn take_targets_of(&self, cx: &Rc<Traffic>, service: &str) {
-        self.take_targets_where(cx, |known| known == service);
+        self.update_targets_where(cx, |known| known == service);
     }
 
-    fn take_targets_where(&self, cx: &Rc<Traffic>, is_affected: impl Fn(&str) -> bool) {
+    fn update_targets_where(&self, cx: &Rc<Traffic>, is_affected: impl Fn(&str) -> bool) {
         let Some(deployment) = cx.deployment_in_use() else {
             return;
         };
--- a/crates/gateway/src/pools/worker_crash.rs
+++ b/crates/gateway/src/pools/worker_crash.rs
@@ -1,7 +1,7 @@
 //! Worker crashes in the middle of a call.
 //!
-//! The piece that caused a crash can't be told from the others of its call, so the crash
-//! counts against each of their requests ([`crate::crashes`]). A piece that meets a second
+//! The piece of a call that caused a crash can't be identified, so the crash counts against
+//! the requests of all its pieces ([`crate::crashes`]). A piece that meets a second
 //! crash is isolated: it shares no more calls with other requests.
 
 use std::collections::BTreeSet;
--- a/crates/gateway/tests/suite/sharing.rs
+++ b/crates/gateway/tests/suite/sharing.rs
@@ -153,7 +153,7 @@
     let addr = one.at.callers;
     let early = request(1).with("X-Deadline-Ms", "8000");
     let early_response = actix_rt::spawn(async move { early.send(addr).await });
-    eventually("a call is made", || worker.calls() > 0).await;
+    eventually("a call is sent", || worker.calls() > 0).await;
     let calls = store.calls();
     let is_page = |call: &&String| call.contains("kv-range") && call.contains("peers/");
     let pages = calls.iter().filter(is_page).count();
