--- a/crates/gateway/tests/suite/main.rs
+++ b/crates/gateway/tests/suite/main.rs
@@ -1,19 +1,17 @@
 //! The daemon against small fakes of the platform, on loopback sockets.
 
 mod all_kinds;
-mod cold;
+mod backoff;
 mod crashing;
 mod evacuated_halls;
 mod fixture;
 mod forwarding;
 mod leaving;
 mod libraries;
-mod limited;
 mod limits;
 mod mechanisms;
 mod metrics;
 mod regions;
-mod resting;
 mod rollouts;
 mod sharing;
 mod stages;
@@ -22,4 +20,6 @@
 mod store_followers;
 mod store_restore;
 mod streams;
+mod target_limits;
 mod target_restarts;
+mod warm_up;
