--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -1,5 +1,8 @@
-//! Judging a request before its first stage, from the snapshot and from what
-//! this entry has in flight for each organisation.
+//! Admission of a request before its first stage.
+//!
+//! Refuses a request that can't finish within its deadline, as estimated from
+//! the current view, and determines whether its organisation exceeds its share
+//! of the requests in flight at this entry.
 
 use hollowsail_config::{Deployment, OrganisationKey, PipelineKey, Service};
 use hollowsail_routing::{admit, Rank, ServiceLoad, StageDemand, Verdict};
@@ -9,7 +12,7 @@
 use crate::view::View;
 use crate::worker::Worker;
 
-/// Admits a request, or says why not.
+/// Admits a request, or refuses it with [`ErrorKind::CannotFinish`].
 pub fn judge(
     worker: &Worker,
     deployment: &Deployment,
@@ -25,19 +28,21 @@
         let view = worker.entry.view();
         let priority = deployment.pipeline(pipeline).priority;
         let rank = |latest| worker.entry.new_rank(over_share, priority, latest);
-        let stages = demands(&view, deployment, org, pipeline, remaining_ms, rank);
+        let stages = stage_demands(&view, deployment, org, pipeline, remaining_ms, rank);
         let caution = 1.0 - deployment.policy.attainment_weight;
         if let Verdict::CannotFinish(needed) = admit(remaining_ms, &stages, caution) {
-            let message = format!("{remaining_ms} ms are left and about {needed} ms are needed");
+            let message = format!(
+                "the deadline is in {remaining_ms} ms, but the stages need about {needed} ms"
+            );
             return Err((ErrorKind::CannotFinish, message));
         }
     }
-    Ok(worker.entry.holdings.take(name, weight, over_share))
+    Ok(worker.entry.holdings.admit(name, weight, over_share))
 }
 
-/// What each stage of a pipeline meets. Empty when the newest configuration is
-/// another one than the request's: its keys would not fit.
-fn demands(
+/// Expected time and service load of each stage of a pipeline. Empty when the
+/// request's configuration isn't the newest, as its keys wouldn't match.
+fn stage_demands(
     view: &View,
     deployment: &Deployment,
     org: OrganisationKey,
@@ -45,10 +50,10 @@
     remaining_ms: u64,
     rank: impl Fn(u64) -> Rank,
 ) -> Vec<StageDemand> {
-    let same = view
+    let is_newest = view
         .deployment()
         .is_some_and(|newest| std::ptr::eq(newest, deployment));
-    if !same {
+    if !is_newest {
         return Vec::new();
     }
     let expected = view.expectations(pipeline, 0);
@@ -57,12 +62,12 @@
         .iter()
         .zip(expected)
         .enumerate()
-        .map(|(at, (stage, expectation))| {
-            let rest: u64 = expected[at..].iter().map(|e| e.typical_ms).sum();
-            let rank = rank(remaining_ms.saturating_sub(rest));
+        .map(|(index, (stage, expectation))| {
+            let typical_rest_ms: u64 = expected[index..].iter().map(|e| e.typical_ms).sum();
+            let rank = rank(remaining_ms.saturating_sub(typical_rest_ms));
             let gate = &view.services[stage.service.index()].gate;
-            let mut load = load_of(view, deployment, org, deployment.service(stage.service));
-            load.ahead += (gate.ahead_of(&rank) * view.entries()) as f64;
+            let mut load = service_load(view, deployment, org, deployment.service(stage.service));
+            load.ahead += (gate.count_ahead_of(&rank) * view.entry_count()) as f64;
             StageDemand {
                 expected: *expectation,
                 load,
@@ -71,7 +76,8 @@
         .collect()
 }
 
-fn load_of(
+/// Slots and requests of the service's targets that the organisation may use.
+fn service_load(
     view: &View,
     deployment: &Deployment,
     org: OrganisationKey,
@@ -86,7 +92,7 @@
         let usable = state.takes_work && !state.ejected;
         if usable && deployment.permits(org, deployment.target(key).hall) {
             load.slots += f64::from(service.concurrency);
-            load.ahead += view.held_by(key);
+            load.ahead += view.estimated_load(key);
         }
     }
     load
--- a/crates/entry/src/apply.rs
+++ b/crates/entry/src/apply.rs
@@ -1,10 +1,10 @@
-//! Accepting an operator's files as a whole.
+//! Applies an operator's configuration files atomically.
 //!
-//! The files are checked here; their chunks are written to the store; then the
-//! head is changed by compare-and-swap against the revision the operator
-//! named. An answer that is lost is settled by reading the head back and
-//! finding the apply id, so an apply can be sent again until it is known. At
-//! the end the entry waits until every live entry reports the revision.
+//! Checks the files, writes their chunks to the store, and replaces the head by
+//! compare-and-swap against the operator's base revision. If the store's answer is
+//! lost, the head is read again and searched for the apply id, so an apply can be
+//! resent until its result is known. Finally waits until every live entry reports the
+//! revision.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -17,54 +17,54 @@
 use serde::{Deserialize, Serialize};
 
 use crate::configuration::{changed_files, chunk_key, split, Chunks, Configuration, HEAD_KEY};
-use crate::control::spread::chunks_from_store;
+use crate::control::config_sync::chunks_from_store;
 use crate::control::Adopt;
 use crate::events;
 use crate::worker::Worker;
 
-/// Failed calls to the store after which an apply gives up.
-const MAX_TRIES: u32 = 5;
-/// Between two tries.
-const TRY_PAUSE: Duration = Duration::from_millis(300);
-/// Between two looks at who has the revision in force.
-const FORCE_PAUSE: Duration = Duration::from_millis(50);
-/// Longest wait for "in force everywhere" that an operator may ask for.
+/// Failed store calls after which an apply is abandoned.
+const MAX_FAILED_CALLS: u32 = 5;
+/// Pause after a failed store call.
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
+/// Interval between two checks which entries have the revision in force.
+const IN_FORCE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Longest wait until a revision is in force everywhere; limits `wait_ms`.
 const MAX_WAIT_MS: u64 = 60_000;
 
-/// What an operator sends.
+/// Body of an apply request.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ApplyRequest {
     pub files: Vec<SourceFile>,
-    /// Revision that the operator believes to be in force.
+    /// Revision that the files were derived from.
     pub base: u64,
-    /// Chosen by the operator; the same id is never applied twice.
+    /// Chosen by the operator; an id is applied at most once.
     pub apply_id: String,
-    /// The same apply was sent before, and its answer was lost or unknown.
+    /// True when the same apply was sent before and its result is unknown.
     #[serde(default)]
     pub resent: bool,
-    /// How long to wait until it is in force everywhere, in milliseconds.
+    /// How long to wait until the revision is in force everywhere, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// What the operator is told.
+/// Response to an apply request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "snake_case")]
 pub enum ApplyResult {
-    /// In force from now on; `missing` names entries that do not report it.
+    /// Accepted; `missing` names the entries that haven't reported the revision.
     Accepted { revision: u64, missing: Vec<String> },
-    /// Nothing was changed.
+    /// The files have faults; nothing was changed.
     Faulty { faults: Vec<Fault> },
-    /// Somebody else's apply came first; nothing was changed.
+    /// Another apply was accepted since the base revision; nothing was changed.
     Conflict {
         in_force: u64,
-        /// Files in which the revision in force differs from these.
+        /// Names of the files that differ from the revision in force.
         differs_in: Vec<String>,
         message: String,
     },
-    /// The store cannot say; send the same apply id again.
+    /// The store's answer was lost; resend with the same apply id.
     Unknown { message: String },
-    /// Nothing was changed.
+    /// The store could not be reached; nothing was changed.
     Unavailable { message: String },
 }
 
@@ -80,22 +80,22 @@
     }
 }
 
-/// Checks, accepts, and waits until the files are in force.
+/// Checks the files, accepts them, and waits until they are in force.
 pub async fn apply(worker: &Worker, request: ApplyRequest) -> ApplyResult {
     let files = request.files.clone();
     let checked = actix_web::web::block(move || check(&files)).await;
     if let Ok(Err(faults)) = checked {
-        refused(worker, "faults");
+        log_refused(worker, "faults");
         return ApplyResult::Faulty { faults: faults.0 };
     }
     let accepted = match &worker.store {
         Some(store) => accept_in_store(worker, store, &request).await,
-        None => accept_alone(worker, &request),
+        None => accept_locally(worker, &request),
     };
     let (revision, head, chunks) = match accepted {
         Ok(accepted) => accepted,
         Err(result) => {
-            refused(worker, "conflict or store");
+            log_refused(worker, "conflict or store failure");
             return result;
         }
     };
@@ -112,16 +112,16 @@
     ApplyResult::Accepted { revision, missing }
 }
 
-fn refused(worker: &Worker, why: &str) {
+fn log_refused(worker: &Worker, why: &str) {
     worker
         .entry
         .log(events::CONFIGURATION_REFUSED, format_args!("why=\"{why}\""));
 }
 
 /// Revision of the apply, newest head, and the chunks of that head.
-type Taken = (u64, Head, Chunks);
+type AcceptedHead = (u64, Head, Chunks);
 
-fn wanted(request: &ApplyRequest, files: &[FileEntry]) -> Apply {
+fn new_apply(request: &ApplyRequest, files: &[FileEntry]) -> Apply {
     Apply {
         base: request.base,
         apply_id: request.apply_id.clone(),
@@ -130,78 +130,79 @@
     }
 }
 
-/// Without a store this entry alone decides, by the same rules.
-fn accept_alone(worker: &Worker, request: &ApplyRequest) -> Result<Taken, ApplyResult> {
+/// Accepts by the same rules without a store, when this entry runs alone.
+fn accept_locally(worker: &Worker, request: &ApplyRequest) -> Result<AcceptedHead, ApplyResult> {
     let (files, mut chunks) = split(&request.files);
     let current = worker.entry.configuration();
-    let mut accept = Accept::new(wanted(request, &files), 0);
+    let mut accept = Accept::new(new_apply(request, &files), 0);
     let head = current.as_ref().map(|current| (0, current.head.clone()));
-    let ended = accept
+    let outcome = accept
         .answer(HeadAnswer::Read(head))
         .or_else(|| accept.answer(HeadAnswer::Written));
     if let Some(current) = current {
         chunks.extend(current.chunks.clone());
     }
-    conclude(ended, request, &files).map(|(revision, head)| (revision, head, chunks))
+    to_result(outcome, request, &files).map(|(revision, head)| (revision, head, chunks))
 }
 
 async fn accept_in_store(
     worker: &Worker,
     store: &StoreClient,
     request: &ApplyRequest,
-) -> Result<Taken, ApplyResult> {
+) -> Result<AcceptedHead, ApplyResult> {
     let (files, chunks) = split(&request.files);
     let in_force = worker
         .entry
         .configuration()
         .map_or(Chunks::new(), |configuration| configuration.chunks.clone());
-    let mut accept = Accept::new(wanted(request, &files), MAX_TRIES);
-    let ended = loop {
+    let mut accept = Accept::new(new_apply(request, &files), MAX_FAILED_CALLS);
+    let outcome = loop {
         let answer = match accept.step().clone() {
             AcceptStep::ReadHead => read_head(store).await,
             AcceptStep::WriteHead { over, head } => {
-                write(store, over, &head, &chunks, &in_force).await
+                write_head(store, over, &head, &chunks, &in_force).await
             }
         };
         let answered = !matches!(answer, HeadAnswer::NotDone | HeadAnswer::Lost);
-        if let Some(ended) = accept.answer(answer) {
-            break ended;
+        if let Some(outcome) = accept.answer(answer) {
+            break outcome;
         }
         if !answered {
-            tokio::time::sleep(TRY_PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
     };
-    let (revision, head) = conclude(Some(ended), request, &files)?;
+    let (revision, head) = to_result(Some(outcome), request, &files)?;
     chunks_from_store(store, &head, chunks)
         .await
         .map(|chunks| (revision, head, chunks))
         .map_err(|message| ApplyResult::Unknown { message })
 }
 
-fn conclude(
-    ended: Option<Accepted>,
+/// Maps the outcome to the accepted revision and the newest head, or to the response.
+fn to_result(
+    outcome: Option<Accepted>,
     request: &ApplyRequest,
     files: &[FileEntry],
 ) -> Result<(u64, Head), ApplyResult> {
-    match ended {
+    match outcome {
         Some(Accepted::Yes { revision, newest }) => {
             let reused = newest.apply_id == request.apply_id && newest.files != files;
             if reused {
                 return Err(ApplyResult::Conflict {
                     in_force: newest.revision,
                     differs_in: changed_files(&newest.files, files),
-                    message: "this apply id was used for other files; choose a new one".into(),
+                    message: "this apply id was used for other files; choose a new id".into(),
                 });
             }
             Ok((revision, *newest))
         }
         Some(Accepted::Conflict(head)) => Err(conflict(head.as_deref(), files, request.base)),
         Some(Accepted::Unavailable) => Err(ApplyResult::Unavailable {
-            message: "the store does not answer; nothing was changed; apply again later".into(),
+            message: "the store did not answer; nothing was changed; retry later".into(),
         }),
         Some(Accepted::Unknown) | None => Err(ApplyResult::Unknown {
-            message: "the store did not say whether it took the change; \
-                      send the same apply again with the same id and base"
+            message: "the store did not confirm the change; \
+                      resend the same apply with the same id and base"
                 .into(),
         }),
     }
@@ -214,7 +215,7 @@
         differs_in: changed_files(head.map_or(&[], |head| &head.files), files),
         message: format!(
             "revision {in_force} is in force, not {base}: \
-             look at what differs, then apply with base {in_force}"
+             review the differences, then apply with base {in_force}"
         ),
     }
 }
@@ -230,8 +231,8 @@
     }
 }
 
-/// Writes the head's chunks, then the head.
-async fn write(
+/// Writes the chunks, then the head.
+async fn write_head(
     store: &StoreClient,
     over: Option<u64>,
     head: &Head,
@@ -253,9 +254,9 @@
     }
 }
 
-/// Writes the chunks that the revision in force here does not name: those are
-/// in the store already. Chunks are addressed by content, so writing one twice
-/// changes nothing.
+/// Writes the chunks that aren't part of the revision in force, whose chunks are
+/// already in the store. Chunks are addressed by content, so writing one twice is
+/// harmless.
 async fn write_chunks(
     store: &StoreClient,
     chunks: &Chunks,
@@ -273,8 +274,8 @@
     Ok(())
 }
 
-/// Waits for every live entry; returns the names of those that do not report
-/// the revision in time.
+/// Waits until every live entry reports the revision, at most `wait_ms`; returns the
+/// names of those that haven't.
 async fn wait_in_force(worker: &Worker, revision: u64, wait_ms: u64) -> Vec<String> {
     let end = Instant::now() + Duration::from_millis(wait_ms);
     loop {
@@ -289,6 +290,6 @@
         if missing.is_empty() || Instant::now() >= end {
             return missing;
         }
-        tokio::time::sleep(FORCE_PAUSE).await;
+        tokio::time::sleep(IN_FORCE_CHECK_INTERVAL).await;
     }
 }
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -1,9 +1,9 @@
-//! Attempts at one stage: find a target, dispatch, judge, and maybe try
-//! elsewhere.
+//! Attempts at one stage, with retries.
 //!
-//! [`routes`](crate::routes) finds the target of each attempt and waits for a
-//! slot, [`dispatch`](crate::dispatch) makes the call; this module decides what
-//! the attempt proved and whether another may follow.
+//! [`routes`] finds the target of each attempt and waits for a
+//! slot, [`dispatch`](mod@crate::dispatch) makes the call. This module classifies the
+//! result of the attempt, reports it to the control thread and decides whether to
+//! retry.
 
 use std::time::{Duration, Instant};
 
@@ -13,10 +13,10 @@
 };
 use serde_json::Value;
 
-use crate::crashes::{self, MOST_ENDED};
+use crate::attempt_report::AttemptReport;
+use crate::crashes::{self, MAX_CRASHES};
 use crate::dispatch::{self, Dispatched, Partial};
 use crate::events;
-use crate::fact::Fact;
 use crate::kinds::ErrorKind;
 use crate::metrics;
 use crate::routes::{self, Found, Route};
@@ -25,20 +25,21 @@
 /// Most attempts at one stage.
 const MAX_ATTEMPTS: usize = 3;
 
-/// What happened in one stage.
+/// The attempts of one stage.
 #[derive(Debug, Default)]
 pub struct StageRun {
     pub attempts: Vec<Progress>,
-    /// Targets that ended while they ran it.
-    ended: u32,
+    /// Number of targets that crashed while they ran it.
+    crashes: u32,
 }
 
-/// Runs attempts at a stage until one answers or none may follow.
+/// Runs attempts at a stage until one answers or no more are allowed; the failure
+/// is that of the last attempt.
 pub async fn run_attempts(
     task: &StageTask<'_>,
     input: Value,
 ) -> (StageRun, Result<Value, Failure>) {
-    let begun = Instant::now();
+    let started = Instant::now();
     let stage_time = Duration::from_millis(task.plan.stage_ms);
     let mut run = StageRun::default();
     let mut tried = Vec::new();
@@ -47,58 +48,64 @@
     let mut last_failure = None;
     with_budget(task, RetryBudget::earn);
     loop {
-        let left = stage_time.saturating_sub(begun.elapsed());
+        let left = stage_time.saturating_sub(started.elapsed());
         let attempt = run.attempts.len() + 1;
         let route = match routes::find(task, attempt, &tried, partial.target(), left).await {
             Found::Route(route) => route,
             Found::Nobody => {
-                let nobody = routes::nobody(task, attempt);
-                return (run, Err(last_failure.unwrap_or(nobody)));
+                let no_target = routes::no_target(task, attempt);
+                return (run, Err(last_failure.unwrap_or(no_target)));
             }
             Found::NoTime => {
-                let no_time = routes::no_time(task);
-                return (run, Err(last_failure.unwrap_or(no_time)));
+                let no_slot = routes::no_slot_in_time(task);
+                return (run, Err(last_failure.unwrap_or(no_slot)));
             }
         };
-        let left = stage_time.saturating_sub(begun.elapsed());
+        let left = stage_time.saturating_sub(started.elapsed());
         if left.is_zero() {
             run.attempts.push(Progress::NotDialled);
-            return (run, Err(last_failure.unwrap_or(routes::no_time(task))));
+            return (
+                run,
+                Err(last_failure.unwrap_or(routes::no_slot_in_time(task))),
+            );
         }
-        let sent = task.worker.entry.now();
+        let sent_at = task.worker.entry.now();
         call.dispatch = dispatch_id(task, attempt);
         let limit = attempt_limit(task, left, &route, attempt);
         let done = dispatch::dispatch(task, &mut call, &route, limit, &mut partial).await;
-        let progress = judge(task, &done.result);
+        let progress = classify(task, &done.result);
         run.attempts.push(progress);
-        tell(task, &route, &done);
+        report(task, &route, &done);
         count(task, progress, done.waited);
         let err = match done.result {
             Ok((output, _)) => return (run, Ok(output)),
             Err(err) => err,
         };
         log_failure(task, &call.dispatch, &route, progress, &err);
-        if err.sent == Sent::Something && !done.timed_out && has_ended(task, &route, sent).await {
-            run.ended += 1;
+        if err.sent == Sent::Something
+            && !done.timed_out
+            && has_crashed(task, &route, sent_at).await
+        {
+            run.crashes += 1;
         }
         if !done.may_resume {
             tried.push(route.key);
         }
         let failure = failure_of(task, &err, progress);
-        if run.ended >= MOST_ENDED || !may_follow(task, progress, run.attempts.len()) {
+        if run.crashes >= MAX_CRASHES || !may_retry(task, progress, run.attempts.len()) {
             return (run, Err(failure));
         }
         last_failure = Some(failure);
     }
 }
 
-/// Finds out whether a target that broke its answer off has ended, and counts that.
-async fn has_ended(task: &StageTask<'_>, route: &Route, sent: Millis) -> bool {
-    if !crashes::has_ended(route.address).await {
+/// Checks whether a target whose answer was interrupted has crashed, and records it.
+async fn has_crashed(task: &StageTask<'_>, route: &Route, sent_at: Millis) -> bool {
+    if !crashes::has_crashed(route.address).await {
         return false;
     }
     let entry = &task.worker.entry;
-    let counted = entry.crashes.ended(entry.now(), task.job, sent);
+    let counted = entry.crashes.record_crash(entry.now(), task.job, sent_at);
     let fields = format_args!(
         "request={} target={} counted={counted:?}",
         task.job.request, route.name
@@ -107,16 +114,17 @@
     true
 }
 
-/// Whether another attempt may follow one that ended like this.
-fn may_follow(task: &StageTask<'_>, progress: Progress, made: usize) -> bool {
+/// True when the stage may be retried after an attempt with this progress; takes a
+/// token of the retry budget.
+fn may_retry(task: &StageTask<'_>, progress: Progress, attempts: usize) -> bool {
     may_try_again(progress, task.stage.repeatable)
-        && made < MAX_ATTEMPTS
+        && attempts < MAX_ATTEMPTS
         && task.job.remaining() > Duration::ZERO
-        && grants_retry(task)
+        && take_retry_token(task)
 }
 
-/// Takes an extra attempt out of the service's budget.
-fn grants_retry(task: &StageTask<'_>) -> bool {
+/// Takes a token of the service's retry budget; false when there is none.
+fn take_retry_token(task: &StageTask<'_>) -> bool {
     !task.worker.entry.switches.retry_budget
         || with_budget(task, RetryBudget::spend).unwrap_or(true)
 }
@@ -128,28 +136,29 @@
     Some(change(&mut budget))
 }
 
-/// `request~run/stage/attempt`: unique though callers choose request ids.
+/// `request~run/stage/attempt`; the run makes it unique, as callers may reuse
+/// request ids.
 fn dispatch_id(task: &StageTask<'_>, attempt: usize) -> String {
     let job = task.job;
     format!("{}~{}/{}/{attempt}", job.request, job.run, task.stage.name)
 }
 
-/// The first attempt gets less than the whole stage if another could follow.
-/// Only the first: when a whole service slows down, cutting each attempt short
-/// would lose requests that a little patience serves.
+/// Time limit of an attempt: the planned attempt time for the first if a retry is
+/// possible, otherwise all that is left of the stage. Limiting retries too would
+/// fail requests when the whole service is slow.
 fn attempt_limit(task: &StageTask<'_>, left: Duration, route: &Route, attempt: usize) -> Duration {
     let limited = task.worker.entry.switches.attempt_limits && attempt == 1;
-    let may_follow = task.stage.repeatable
+    let can_retry = task.stage.repeatable
         && route.others > 0
         && with_budget(task, |budget| budget.has_token()).unwrap_or(false);
-    if limited && may_follow {
+    if limited && can_retry {
         left.min(Duration::from_millis(task.plan.attempt_ms))
     } else {
         left
     }
 }
 
-fn judge(task: &StageTask<'_>, result: &Result<(Value, TargetNotice), CallError>) -> Progress {
+fn classify(task: &StageTask<'_>, result: &Result<(Value, TargetNotice), CallError>) -> Progress {
     let Err(err) = result else {
         return Progress::Answered;
     };
@@ -161,7 +170,7 @@
     }
 }
 
-/// The newest configuration decides, as for places.
+/// Decided by the newest configuration, like the choice of the target.
 fn refusal_is_final(task: &StageTask<'_>, status: u16) -> bool {
     let name = task.service_name();
     task.worker.entry.view().deployment().is_some_and(|newest| {
@@ -172,7 +181,7 @@
     })
 }
 
-fn tell(task: &StageTask<'_>, route: &Route, done: &Dispatched) {
+fn report(task: &StageTask<'_>, route: &Route, done: &Dispatched) {
     let ms = done.waited.as_millis() as u64;
     let (observation, notice) = match &done.result {
         Ok((_, notice)) => (Observation::Answered(ms), *notice),
@@ -188,7 +197,7 @@
             (observation, notice)
         }
     };
-    task.worker.entry.tell(Fact {
+    task.worker.entry.report(AttemptReport {
         revision: route.revision,
         target: route.key,
         pipeline: task.job.pipeline,
@@ -232,6 +241,6 @@
         StageStatus::NotRun => "did not run",
         StageStatus::Unknown | StageStatus::Ran => "may have run",
     };
-    let message = format!("stage {} {status}: {err}", task.stage.name);
+    let message = format!("stage {} failed and {status}: {err}", task.stage.name);
     (kind, message)
 }
--- a/crates/entry/src/fact.rs
+++ b/crates/entry/src/attempt_report.rs
@@ -1,14 +1,14 @@
-//! What traffic tells the control thread.
+//! Reports of traffic threads to the control thread.
 
 use actix::Message;
 use hollowsail_clients::target::TargetNotice;
 use hollowsail_config::{PipelineKey, TargetKey};
 use hollowsail_routing::Observation;
 
-/// One attempt's end, told by a traffic thread.
+/// Outcome of one attempt, sent by a traffic thread.
 #[derive(Debug, Clone, Message)]
 #[rtype(result = "()")]
-pub struct Fact {
+pub struct AttemptReport {
     /// Revision that the keys belong to.
     pub revision: u64,
     pub target: TargetKey,
--- a/crates/entry/src/auth.rs
+++ b/crates/entry/src/auth.rs
@@ -1,8 +1,8 @@
-//! Who speaks: organisations, operators and peers.
+//! Authentication of organisations, operators and peers.
 //!
-//! Organisations and operators present a bearer key of which only the SHA-256
-//! is stored. Peers present a token derived from the fleet's key. Comparisons
-//! take the same time whether they match or not.
+//! Organisations and operators send a bearer key, of which only the SHA-256 is
+//! stored. Peers send a token derived from the fleet key. The operators' key and the
+//! peer token are compared in constant time.
 
 use actix_web::http::header::{HeaderMap, AUTHORIZATION};
 use hollowsail_config::key::{hash_key, KeyHash};
@@ -10,12 +10,12 @@
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
 
-/// Carries a peer's token.
+/// Header with the peer token.
 pub const PEER_HEADER: &str = "hollowsail-peer";
-/// Separates the peer token from other uses of the fleet's key.
+/// Separates the peer token from other uses of the fleet key.
 const PEER_CONTEXT: &[u8] = b"hollowsail peer token 1";
 
-/// The bearer key of a request.
+/// The bearer key of a request; `None` if it has none.
 pub fn bearer(headers: &HeaderMap) -> Option<&str> {
     headers
         .get(AUTHORIZATION)?
@@ -25,18 +25,18 @@
         .map(str::trim)
 }
 
-/// The organisation whose key came with the request.
+/// The organisation that the bearer key belongs to.
 pub fn organisation(headers: &HeaderMap, deployment: &Deployment) -> Option<OrganisationKey> {
     let hash = hash_key(bearer(headers)?);
     deployment.organisation_of_key(&hash)
 }
 
-/// True when the request carries the operators' key.
+/// True when the request has the operators' key.
 pub fn is_operator(headers: &HeaderMap, expected: &KeyHash) -> bool {
     bearer(headers).is_some_and(|key| hash_key(key).ct_eq(expected).into())
 }
 
-/// Token by which peers of one fleet know each other.
+/// Token that authenticates the entries of a fleet to each other.
 pub fn peer_token(fleet_key: &[u8]) -> String {
     let mut hash = Sha256::new();
     hash.update(PEER_CONTEXT);
@@ -44,7 +44,7 @@
     hex::encode(hash.finalize())
 }
 
-/// True when the request comes from a peer of the fleet.
+/// True when the request has the fleet's peer token.
 pub fn is_peer(headers: &HeaderMap, fleet_key: &[u8]) -> bool {
     let expected = peer_token(fleet_key);
     headers
--- a/crates/entry/src/body.rs
+++ b/crates/entry/src/body.rs
@@ -1,4 +1,4 @@
-//! The body of a request: shared by several ways on, or read and checked here.
+//! The body of a request: streamed to a peer, or read and parsed here.
 
 use std::cell::RefCell;
 use std::pin::Pin;
@@ -14,8 +14,8 @@
 
 use crate::answer::{AnswerBody, Refusal};
 use crate::job::Job;
-use crate::judge::Judged;
 use crate::kinds::ErrorKind;
+use crate::validate::ValidatedRequest;
 use crate::worker::Worker;
 
 /// Body of a pipeline request.
@@ -28,8 +28,8 @@
 
 type BodyStream = Pin<Box<dyn Stream<Item = Result<Bytes, PayloadError>>>>;
 
-/// A request body that several relay attempts share: one that fails before it
-/// reads anything leaves the body whole for the next.
+/// A request body shared by several relay attempts: an attempt that fails before it
+/// reads anything leaves the body complete for the next.
 #[derive(Clone)]
 pub struct SharedBody(Rc<RefCell<BodyStream>>);
 
@@ -38,8 +38,8 @@
         SharedBody(Rc::new(RefCell::new(Box::pin(body))))
     }
 
-    /// A body that was read already.
-    pub fn of_bytes(bytes: Vec<u8>) -> Self {
+    /// A body that was already read.
+    pub fn from_bytes(bytes: Vec<u8>) -> Self {
         let stream = futures_util::stream::iter([Ok(Bytes::from(bytes))]);
         SharedBody(Rc::new(RefCell::new(Box::pin(stream))))
     }
@@ -53,33 +53,33 @@
     }
 }
 
-/// Reads and checks the body; returns the job and the raw bytes.
+/// Reads and parses the body within the deadline; returns the job and the raw bytes.
 pub async fn read_job(
     worker: &Worker,
-    judged: &Judged,
+    validated: &ValidatedRequest,
     body: SharedBody,
 ) -> Result<(Job, Vec<u8>), Refusal> {
-    let refuse = |kind, message: String| AnswerBody::refusal(&judged.request, kind, message);
+    let refuse = |kind, message: String| AnswerBody::refusal(&validated.request, kind, message);
     let limit = worker.entry.settings.limits.max_body_bytes;
-    let bytes = timeout(judged.remaining(), read_body(body, limit))
+    let bytes = timeout(validated.remaining(), read_body(body, limit))
         .await
         .unwrap_or_else(|_| {
-            let message = "the body did not come in time".to_string();
+            let message = "the request body was not received within the deadline".to_string();
             Err((ErrorKind::DeadlineExceeded, message))
         })
         .map_err(|(kind, message)| refuse(kind, message))?;
     let parsed: RequestBody = serde_json::from_slice(&bytes).map_err(|err| {
-        let message = format!("the body is not a valid request: {err}");
+        let message = format!("the request body is not valid: {err}");
         refuse(ErrorKind::BadRequest, message)
     })?;
     let job = Job {
-        request: judged.request.clone(),
+        request: validated.request.clone(),
         run: worker.entry.new_run_id(),
-        org: judged.org_name().to_string(),
-        configuration: judged.configuration.clone(),
-        pipeline: judged.pipeline,
-        accepted: judged.accepted,
-        deadline: judged.deadline,
+        org: validated.org_name().to_string(),
+        configuration: validated.configuration.clone(),
+        pipeline: validated.pipeline,
+        accepted: validated.accepted,
+        deadline: validated.deadline,
         session: parsed.session,
         input: parsed.input,
     };
@@ -88,16 +88,16 @@
 
 async fn read_body(mut body: SharedBody, limit: usize) -> Result<Vec<u8>, (ErrorKind, String)> {
     let mut bytes = Vec::new();
-    while let Some(piece) = body.next().await {
-        let piece = piece.map_err(|err| {
-            let message = format!("the body broke off: {err}");
+    while let Some(chunk) = body.next().await {
+        let chunk = chunk.map_err(|err| {
+            let message = format!("the request body was interrupted: {err}");
             (ErrorKind::BadRequest, message)
         })?;
-        if bytes.len() + piece.len() > limit {
-            let message = format!("the body has more than {limit} bytes");
+        if bytes.len() + chunk.len() > limit {
+            let message = format!("the request body exceeds {limit} bytes");
             return Err((ErrorKind::BodyTooLarge, message));
         }
-        bytes.extend_from_slice(&piece);
+        bytes.extend_from_slice(&chunk);
     }
     Ok(bytes)
 }
--- a/crates/entry/src/callers.rs
+++ b/crates/entry/src/callers.rs
@@ -1,10 +1,8 @@
-//! The callers' interface: `POST /v1/pipelines/{name}`, `POST /v1/tickets`,
-//! `GET /health`. Peers use the same handlers under `/peer` for requests that
-//! they pass on.
+//! HTTP interface for callers: `POST /v1/pipelines/{name}`, `POST /v1/tickets` and
+//! `GET /health`. Peers use the same handlers under `/peer` for relayed requests.
 //!
-//! A request is judged from its headers first: organisation, pipeline,
-//! deadline, and whether this entry may serve it at all. Only then is its body
-//! read, checked, and run.
+//! The headers are validated first, and whether this entry may serve the request at
+//! all; only then is the body read and the request run.
 
 use actix_web::{web, HttpRequest, HttpResponse};
 use hollowsail_fleet::Standing;
@@ -13,23 +11,24 @@
 use crate::body::{read_job, SharedBody};
 use crate::headers;
 use crate::job::Job;
-use crate::judge::{
-    judge, no_permitted_entry, permitted_entries, serves_here, true_refusal, Judged,
-};
 use crate::kinds::ErrorKind;
-use crate::permit;
+use crate::origin::Origin;
 use crate::pipeline;
-use crate::relay::{pass_on, relay_broken, RelayError};
-use crate::sender::Sender;
+use crate::relay::{interrupted_relay, relay_to, RelayError};
+use crate::serve_once;
 use crate::streaming;
 use crate::tickets;
+use crate::validate::{
+    is_permitted_here, no_permitted_entry, permitted_entries, validate, with_possible_earlier_send,
+    ValidatedRequest,
+};
 use crate::view::InFlight;
 use crate::worker::Worker;
 
 /// Routes of the callers' listener.
 pub fn routes(cfg: &mut web::ServiceConfig) {
     cfg.route("/v1/pipelines/{name}", web::post().to(from_caller))
-        .route("/v1/tickets", web::post().to(tickets::tickets_for_caller))
+        .route("/v1/tickets", web::post().to(tickets::handle_caller))
         .route("/health", web::get().to(health));
 }
 
@@ -39,29 +38,29 @@
     name: web::Path<String>,
     body: web::Payload,
 ) -> HttpResponse {
-    serve(&worker, &req, &name, body, Sender::CALLER).await
+    serve(&worker, &req, &name, body, Origin::CALLER).await
 }
 
-/// The balancer's check: 200 while new requests are welcome.
+/// Health check of the balancer: 200 while this entry accepts new requests.
 async fn health(worker: web::Data<Worker>) -> HttpResponse {
     let view = worker.entry.view();
-    // An entry that has peers cannot pass requests on before it knows them.
+    // Before it has joined, an entry can't relay requests.
     let ready = worker.entry.knows_peers();
-    let welcome = view.standing == Standing::InTouch && !view.is_stopping() && ready;
-    if welcome {
+    let accepts = view.standing == Standing::InTouch && !view.is_stopping() && ready;
+    if accepts {
         HttpResponse::Ok().body("ok\n")
     } else {
-        HttpResponse::ServiceUnavailable().body("takes no new requests\n")
+        HttpResponse::ServiceUnavailable().body("this entry accepts no new requests\n")
     }
 }
 
-/// Serves one request, here or through the entry that may.
+/// Serves a request, here or by relaying it to a permitted entry.
 pub async fn serve(
     worker: &Worker,
     req: &HttpRequest,
     name: &str,
     body: web::Payload,
-    sender: Sender,
+    origin: Origin,
 ) -> HttpResponse {
     let request = match headers::request_id(req.headers()) {
         Ok(request) => request,
@@ -69,44 +68,45 @@
             return AnswerBody::refusal("-", ErrorKind::BadRequest, message).into_response()
         }
     };
-    let _counted = InFlight::new(&worker.entry.in_flight);
-    match judge(worker, req.headers(), &request, name) {
-        Ok(judged) => admit(worker, req, judged, body, sender).await,
-        Err(refusal) => true_refusal(req.headers(), refusal).into_response(),
+    let _in_flight = InFlight::new(&worker.entry.in_flight);
+    match validate(worker, req.headers(), &request, name) {
+        Ok(validated) => serve_validated(worker, req, validated, body, origin).await,
+        Err(refusal) => with_possible_earlier_send(req.headers(), refusal).into_response(),
     }
 }
 
-async fn admit(
+async fn serve_validated(
     worker: &Worker,
     req: &HttpRequest,
-    judged: Judged,
+    validated: ValidatedRequest,
     body: web::Payload,
-    sender: Sender,
+    origin: Origin,
 ) -> HttpResponse {
     let body = SharedBody::new(body);
-    let permitted = serves_here(worker, &judged);
-    if !permitted && sender.is_peer() {
-        return true_refusal(req.headers(), no_permitted_entry(&judged)).into_response();
+    let permitted = is_permitted_here(worker, &validated);
+    if !permitted && origin.is_peer() {
+        return with_possible_earlier_send(req.headers(), no_permitted_entry(&validated))
+            .into_response();
     }
     if !permitted {
-        return relay_to_permitted(worker, req, &judged, body).await;
+        return relay_to_permitted(worker, req, &validated, body).await;
     }
-    let runs_once = judged
+    let runs_once = validated
         .configuration
         .deployment
-        .pipeline(judged.pipeline)
+        .pipeline(validated.pipeline)
         .runs_once();
     if runs_once {
-        return permit::serve_once(worker, req, judged, body, sender).await;
+        return serve_once::serve(worker, req, validated, body, origin).await;
     }
-    match read_job(worker, &judged, body).await {
-        Ok((job, _)) => answer(worker, req, job).await,
+    match read_job(worker, &validated, body).await {
+        Ok((job, _)) => run_job(worker, req, job).await,
         Err(refusal) => refusal.into_response(),
     }
 }
 
-async fn answer(worker: &Worker, req: &HttpRequest, job: Job) -> HttpResponse {
-    if headers::wants_events(req.headers()) {
+async fn run_job(worker: &Worker, req: &HttpRequest, job: Job) -> HttpResponse {
+    if headers::accepts_events(req.headers()) {
         return streaming::respond(worker, job);
     }
     pipeline::run(worker, &job, None).await.into_response()
@@ -115,24 +115,26 @@
 async fn relay_to_permitted(
     worker: &Worker,
     req: &HttpRequest,
-    judged: &Judged,
+    validated: &ValidatedRequest,
     body: SharedBody,
 ) -> HttpResponse {
-    for member in permitted_entries(worker, judged) {
-        let relay = pass_on(
+    for member in permitted_entries(worker, validated) {
+        let relay = relay_to(
             worker,
             req,
-            judged,
+            validated,
             body.clone(),
             &member,
-            Sender::CALLER,
+            Origin::CALLER,
             false,
         );
         match relay.await {
             Ok(response) => return response,
             Err(RelayError::NotSent) => {}
-            Err(RelayError::Broken(reason)) => return relay_broken(&judged.request, &reason),
+            Err(RelayError::Broken(reason)) => {
+                return interrupted_relay(&validated.request, &reason)
+            }
         }
     }
-    true_refusal(req.headers(), no_permitted_entry(judged)).into_response()
+    with_possible_earlier_send(req.headers(), no_permitted_entry(validated)).into_response()
 }
--- a/crates/entry/src/configuration.rs
+++ b/crates/entry/src/configuration.rs
@@ -1,5 +1,5 @@
-//! A configuration in force: head, files, typed deployment, and its chunks
-//! for peers that ask.
+//! A configuration revision: head, files, typed deployment, and the chunks that are
+//! sent to peers.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -8,10 +8,10 @@
 use hollowsail_config::{check, Deployment, Faults, SourceFile};
 use snafu::{ResultExt, Snafu};
 
-/// Key of the head in the store.
+/// Store key of the head.
 pub const HEAD_KEY: &str = "config/head";
 
-/// Key of a chunk in the store.
+/// Store key of a chunk.
 pub fn chunk_key(hash: &ChunkHash) -> String {
     format!("config/chunk/{}", hex::encode(hash))
 }
@@ -19,16 +19,16 @@
 /// Chunks by hash, shared between revisions.
 pub type Chunks = HashMap<ChunkHash, Arc<Vec<u8>>>;
 
-/// Why a head's chunks make no configuration.
+/// Failure to build a configuration from a head and its chunks.
 #[derive(Debug, Snafu)]
 pub enum BuildError {
     #[snafu(display("{source}"))]
     Join { source: ChunkError },
-    #[snafu(display("revision {revision} does not pass the check here: {source}"))]
+    #[snafu(display("revision {revision} is not valid for this version of the entry: {source}"))]
     Check { revision: u64, source: Faults },
 }
 
-/// One revision, immutable.
+/// One immutable revision.
 #[derive(Debug)]
 pub struct Configuration {
     pub head: Head,
@@ -38,8 +38,8 @@
 }
 
 impl Configuration {
-    /// Builds a revision from its head and every chunk it names; other chunks
-    /// are let go, or each revision would keep all that came before it.
+    /// Builds a revision from its head and the chunks that it names. Other chunks are
+    /// dropped, or each revision would retain those of all earlier ones.
     pub fn build(head: Head, mut chunks: Chunks) -> Result<Configuration, BuildError> {
         let named: HashSet<&ChunkHash> = head.chunk_hashes().collect();
         chunks.retain(|hash, _| named.contains(hash));
@@ -61,17 +61,17 @@
     }
 }
 
-/// Splits files into the entries of a head and the chunks that they name.
+/// Splits files into chunks, and the file entries of a head that name them.
 pub fn split(files: &[SourceFile]) -> (Vec<FileEntry>, Chunks) {
-    let (entries, pieces) = chunk::split(files);
-    let chunks = pieces
+    let (entries, chunks) = chunk::split(files);
+    let chunks = chunks
         .into_iter()
         .map(|(hash, bytes)| (hash, Arc::new(bytes)))
         .collect();
     (entries, chunks)
 }
 
-/// Names of files that differ between a head and an apply.
+/// Sorted names of the files that differ between a head and an apply.
 pub fn changed_files(in_force: &[FileEntry], proposed: &[FileEntry]) -> Vec<String> {
     let chunks_of = |files: &[FileEntry], name: &str| {
         files
--- a/crates/entry/src/context.rs
+++ b/crates/entry/src/context.rs
@@ -1,4 +1,4 @@
-//! The one context that is passed down: what all threads of an entry share.
+//! State shared by all threads of an entry.
 
 use std::sync::atomic::{AtomicU32, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, OnceLock};
@@ -10,34 +10,34 @@
 use hollowsail_fleet::{Incarnation, Millis};
 use hollowsail_routing::{Rank, Switches};
 
+use crate::attempt_report::AttemptReport;
 use crate::configuration::Configuration;
 use crate::crashes::Crashes;
 use crate::events::{self, Event};
-use crate::fact::Fact;
 use crate::holdings::Holdings;
 use crate::metrics;
-use crate::once::OnceBook;
+use crate::once_ledger::OnceLedger;
 use crate::view::View;
 
 /// State of one entry process, shared by its threads.
 pub struct Entry {
     pub settings: Settings,
-    /// Mechanisms at work; all of them, but for the bench.
+    /// Mechanisms that are switched on; all except in the bench.
     pub switches: Switches,
     pub incarnation: Incarnation,
     turn: AtomicUsize,
     started: Instant,
     view: ArcSwap<View>,
-    pub once: Mutex<OnceBook>,
-    /// Requests being served, for planned stops and for the limit.
+    pub once: Mutex<OnceLedger>,
+    /// Number of requests being served, for planned stops and the limit.
     pub in_flight: Arc<AtomicU32>,
-    /// What each organisation has in flight here.
+    /// Requests in flight by organisation.
     pub holdings: Arc<Holdings>,
-    /// Requests that end targets.
+    /// Requests that are known to crash targets.
     pub crashes: Crashes,
     next_run: AtomicU64,
-    /// Where facts go; the control thread starts after this is made.
-    facts: OnceLock<Recipient<Fact>>,
+    /// Recipient of attempt reports; set after the control thread has started.
+    reports: OnceLock<Recipient<AttemptReport>>,
 }
 
 impl Entry {
@@ -47,7 +47,7 @@
         incarnation: Incarnation,
         view: View,
     ) -> Self {
-        let once = OnceBook::new(incarnation, &settings.limits);
+        let once = OnceLedger::new(incarnation, &settings.limits);
         Entry {
             settings,
             switches,
@@ -60,68 +60,70 @@
             holdings: Arc::default(),
             crashes: Crashes::default(),
             next_run: AtomicU64::new(1),
-            facts: OnceLock::new(),
+            reports: OnceLock::new(),
         }
     }
 
-    /// Milliseconds since this process started: the clock of every state
-    /// machine.
+    /// Milliseconds since the entry was created; the clock of all its state.
     pub fn now(&self) -> Millis {
         self.started.elapsed().as_millis() as Millis
     }
 
-    /// The newest snapshot.
+    /// The newest view.
     pub fn view(&self) -> Arc<View> {
         self.view.load_full()
     }
 
-    /// Publishes a snapshot; called by the control thread alone.
+    /// Publishes a view; called by the control thread only.
     pub fn publish(&self, view: View) {
         self.view.store(Arc::new(view));
     }
 
-    /// True when this entry knows its peers, or its settings name none.
+    /// True when this entry has joined the fleet, or its settings name no seeds.
     pub fn knows_peers(&self) -> bool {
         self.view.load().joined || self.settings.seeds.is_empty()
     }
 
-    /// The configuration in force here.
+    /// The configuration in force at this entry.
     pub fn configuration(&self) -> Option<Arc<Configuration>> {
         self.view.load().configuration.clone()
     }
 
-    /// An id that no other run of any process has.
+    /// Creates a run id that is unique in the fleet.
     pub fn new_run_id(&self) -> String {
         let number = self.next_run.fetch_add(1, Ordering::Relaxed);
         format!("{:x}-{number:x}", self.incarnation)
     }
 
-    /// A place in a queue; `latest_start` is in milliseconds from now.
-    pub fn new_rank(&self, over_share: bool, priority: u8, latest_start: u64) -> Rank {
+    /// Creates a position in a wait queue; `latest_start_ms` counts from now.
+    pub fn new_rank(&self, over_share: bool, priority: u8, latest_start_ms: u64) -> Rank {
         Rank {
             over_share,
             urgency: Rank::urgency_of(priority),
-            latest_start: self.now() + latest_start,
+            latest_start: self.now() + latest_start_ms,
             arrival: self.next_run.fetch_add(1, Ordering::Relaxed),
         }
     }
 
-    /// Counts choices, for choosing by turns.
+    /// Number of earlier choices of a target, for the round-robin policy.
     pub fn next_turn(&self) -> usize {
         self.turn.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Connects traffic to the control thread; done once, before any listener
-    /// is open.
-    pub fn set_facts(&self, facts: Recipient<Fact>) {
-        assert!(self.facts.set(facts).is_ok(), "set twice");
+    /// Sets the recipient of attempt reports. Has to be called exactly once, before a
+    /// listener serves requests.
+    pub fn set_report_recipient(&self, recipient: Recipient<AttemptReport>) {
+        assert!(
+            self.reports.set(recipient).is_ok(),
+            "the report recipient is already set"
+        );
     }
 
-    /// Tells the control thread a fact; dropped and counted when it is behind.
-    pub fn tell(&self, fact: Fact) {
-        let facts = self.facts.get().expect("set before any listener is open");
-        if facts.try_send(fact).is_err() {
-            metrics::count_dropped_fact(&self.settings.name);
+    /// Sends a report to the control thread; drops and counts it when the mailbox is full.
+    pub fn report(&self, report: AttemptReport) {
+        let recipient = self.reports.get().expect("set before any listener serves");
+        if recipient.try_send(report).is_err() {
+            metrics::count_dropped_report(&self.settings.name);
         }
     }
 
--- a/crates/entry/src/control/spread.rs
+++ b/crates/entry/src/control/config_sync.rs
@@ -1,11 +1,9 @@
-//! Finding newer configurations: from any peer that reports one, and from the
-//! store where this entry is one of its hall's watchers.
+//! Fetches newer configurations, from the store and from peers.
 //!
-//! Calls to the store do not grow with the fleet: a fixed number of watchers a
-//! hall, chosen alike by all entries, hold one waiting watch each; the others
-//! hear of a new revision from peers. A process without any configuration asks
-//! both. After a failure the next call waits a random, growing time, so that
-//! nobody floods a store that has just come back.
+//! A fixed number of entries in each hall watch the store, so that its load
+//! doesn't grow with the fleet; the others learn of a new revision from peers.
+//! An entry without any configuration uses both. Failed store calls are retried
+//! with randomised exponential backoff.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,43 +22,43 @@
 use crate::control::Control;
 use crate::events;
 
-/// Watchers of the store in each hall.
+/// Entries in each hall that watch the store.
 const WATCHERS_PER_HALL: usize = 2;
-/// How long one watch waits in the store; shorter than the default time until
-/// an entry counts as isolated.
+/// How long the store holds a watch open; below the default `isolation_ms`.
 const WATCH_WAIT: Duration = Duration::from_secs(10);
-/// First pause after a failed call; doubles up to [`MAX_PAUSE`].
-const MIN_PAUSE: Duration = Duration::from_millis(250);
-/// Longest pause between calls to a store that does not answer.
-const MAX_PAUSE: Duration = Duration::from_secs(5);
-/// Between two looks at whether this entry should watch.
-const WATCH_CHECK: Duration = Duration::from_millis(500);
-/// Longest wait for a peer's chunks.
+/// Backoff after the first failed store call; doubles up to [`MAX_BACKOFF`].
+const MIN_BACKOFF: Duration = Duration::from_millis(250);
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
+/// Interval between two checks whether this entry should watch the store.
+const WATCH_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Longest wait for a peer's reply with chunks.
 const PEER_TIMEOUT: Duration = Duration::from_secs(3);
-/// Largest answer with chunks, in bytes.
+/// Largest reply with chunks, in bytes.
 const MAX_CHUNKS_BYTES: usize = 8 * 1024 * 1024;
 
-/// What is known of the store and of fetches under way.
-pub struct SpreadState {
+/// State of the store connection and of the fetches in progress.
+pub struct ConfigSync {
     store: Option<StoreClient>,
-    /// When the store last answered.
-    pub last_store: Option<u64>,
-    seen_version: u64,
-    watching: bool,
-    fetching: bool,
+    /// When the store last answered, in milliseconds of the entry's clock.
+    pub last_store_answer: Option<u64>,
+    /// Store version of the head last received; a watch waits for a newer one.
+    head_version: u64,
+    is_watching: bool,
+    is_fetching: bool,
     failures: u32,
-    /// Revision that the store last showed, to notice one that went back.
+    /// Revision of the head last received, to detect a store that was restored
+    /// from an older copy.
     store_revision: u64,
 }
 
-impl SpreadState {
+impl ConfigSync {
     pub fn new(store: Option<StoreClient>) -> Self {
-        SpreadState {
+        ConfigSync {
             store,
-            last_store: None,
-            seen_version: 0,
-            watching: false,
-            fetching: false,
+            last_store_answer: None,
+            head_version: 0,
+            is_watching: false,
+            is_fetching: false,
             failures: 0,
             store_revision: 0,
         }
@@ -72,14 +70,14 @@
     }
 }
 
-/// A peer's request for what it lacks.
+/// Request of a peer for the configuration in force.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ChunkRequest {
-    /// Hashes of the wanted chunks; empty asks for the head alone.
+    /// Hashes of the chunks that the peer lacks; if empty, only the head is returned.
     pub hashes: Vec<ByteBuf>,
 }
 
-/// Head in force and the chunks asked for.
+/// The head in force and the requested chunks, in the order of the request.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ChunkReply {
     pub head: Head,
@@ -87,12 +85,12 @@
 }
 
 impl Control {
-    pub(crate) fn start_spread(&mut self, cx: &mut Context<Self>) {
-        if self.spread.store.is_none() {
+    pub(crate) fn start_config_sync(&mut self, cx: &mut Context<Self>) {
+        if self.config_sync.store.is_none() {
             return;
         }
         self.watch_if_due(cx);
-        cx.run_interval(WATCH_CHECK, |control, cx| control.watch_if_due(cx));
+        cx.run_interval(WATCH_CHECK_INTERVAL, |control, cx| control.watch_if_due(cx));
     }
 
     fn should_watch(&self) -> bool {
@@ -100,14 +98,14 @@
     }
 
     fn watch_if_due(&mut self, cx: &mut Context<Self>) {
-        if self.spread.watching || !self.should_watch() {
+        if self.config_sync.is_watching || !self.should_watch() {
             return;
         }
-        let Some(store) = self.spread.store.clone() else {
+        let Some(store) = self.config_sync.store.clone() else {
             return;
         };
-        self.spread.watching = true;
-        let seen = self.spread.seen_version;
+        self.config_sync.is_watching = true;
+        let seen = self.config_sync.head_version;
         let wait = self.watch_wait();
         let watch = async move { store.watch(HEAD_KEY, seen, wait).await };
         let done = watch
@@ -116,8 +114,8 @@
         cx.spawn(done);
     }
 
-    /// Without peers the store is the only contact: its answers must come well
-    /// before this entry would count as isolated.
+    /// Without peers the store is the only contact: it has to answer well before
+    /// `isolation_ms` has passed.
     fn watch_wait(&self) -> Duration {
         let has_peers = self.fleet.present_peers().next().is_some();
         let isolation = Duration::from_millis(self.entry.settings.limits.isolation_ms);
@@ -134,66 +132,66 @@
     ) {
         match result {
             Ok(found) => {
-                self.store_answered();
-                self.spread.watching = false;
+                self.on_store_answer();
+                self.config_sync.is_watching = false;
                 if let Some((version, bytes)) = found {
                     self.on_head(version, &bytes, cx);
                 }
                 self.watch_if_due(cx);
             }
             Err(err) => {
-                self.store_failed(&err);
-                let pause = self.pause();
-                cx.run_later(pause, |control, cx| {
-                    control.spread.watching = false;
+                self.on_store_failure(&err);
+                let backoff = self.next_backoff();
+                cx.run_later(backoff, |control, cx| {
+                    control.config_sync.is_watching = false;
                     control.watch_if_due(cx);
                 });
             }
         }
     }
 
-    fn store_answered(&mut self) {
-        if self.spread.failures > 0 {
+    fn on_store_answer(&mut self) {
+        if self.config_sync.failures > 0 {
             self.entry.log(events::STORE_BACK, format_args!(""));
         }
-        self.spread.failures = 0;
-        self.spread.last_store = Some(self.now());
+        self.config_sync.failures = 0;
+        self.config_sync.last_store_answer = Some(self.now());
     }
 
-    fn store_failed(&mut self, err: &StoreError) {
-        if self.spread.failures == 0 {
+    fn on_store_failure(&mut self, err: &StoreError) {
+        if self.config_sync.failures == 0 {
             self.entry
                 .log(events::STORE_LOST, format_args!("reason=\"{err}\""));
         }
-        self.spread.failures += 1;
+        self.config_sync.failures += 1;
     }
 
-    /// A random share of a pause that doubles with each failure.
-    fn pause(&mut self) -> Duration {
-        let doubled = MIN_PAUSE * 2u32.saturating_pow(self.spread.failures.min(8));
+    /// Exponential backoff with jitter, from the number of consecutive failures.
+    fn next_backoff(&mut self) -> Duration {
+        let doubled = MIN_BACKOFF * 2u32.saturating_pow(self.config_sync.failures.min(8));
         doubled
-            .min(MAX_PAUSE)
+            .min(MAX_BACKOFF)
             .mul_f64(self.rng.random_range(0.5..1.0))
     }
 
     fn on_head(&mut self, version: u64, bytes: &[u8], cx: &mut Context<Self>) {
-        self.spread.seen_version = version;
+        self.config_sync.head_version = version;
         let Ok(head) = rmp_serde::from_slice::<Head>(bytes) else {
             self.entry.log(
                 events::CONFIGURATION_UNREADABLE,
-                format_args!("version={version} reason=\"the head is not readable\""),
+                format_args!("version={version} reason=\"malformed configuration head\""),
             );
             return;
         };
         let current = self.revision();
-        if head.revision < current.max(self.spread.store_revision) {
+        if head.revision < current.max(self.config_sync.store_revision) {
             self.entry.log(
                 events::STORE_WENT_BACK,
                 format_args!("store={} in_force={current}", head.revision),
             );
             return;
         }
-        self.spread.store_revision = head.revision;
+        self.config_sync.store_revision = head.revision;
         if head.revision > current {
             self.fetch_from_store(head, cx);
         }
@@ -211,7 +209,7 @@
     }
 
     fn fetch_from_store(&mut self, head: Head, cx: &mut Context<Self>) {
-        let Some(store) = self.spread.store.clone() else {
+        let Some(store) = self.config_sync.store.clone() else {
             return;
         };
         let known = self.known_chunks();
@@ -220,31 +218,31 @@
             build(head, chunks).await
         };
         let done = fetch.into_actor(self).map(|result, control, cx| {
-            // Forget the version, so that a failed fetch is tried again.
+            // Reset the version so that the next watch returns the head again.
             if result.is_err() {
-                control.spread.seen_version = 0;
+                control.config_sync.head_version = 0;
             }
             control.on_fetched(result, "store", cx);
         });
         cx.spawn(done);
     }
 
-    /// Fetches from the peer that reports the highest revision, if it is
-    /// newer than ours.
-    pub(crate) fn look_for_newer(&mut self, cx: &mut Context<Self>) {
+    /// Fetches the configuration of the peer that reports the highest revision,
+    /// if that is newer than the one in force.
+    pub(crate) fn fetch_newer_from_peer(&mut self, cx: &mut Context<Self>) {
         let Some((revision, address)) = self.fleet.newest_revision() else {
             return;
         };
-        if self.spread.fetching || revision <= self.revision() {
+        if self.config_sync.is_fetching || revision <= self.revision() {
             return;
         }
-        self.spread.fetching = true;
+        self.config_sync.is_fetching = true;
         let known = self.known_chunks();
         let client = self.client.clone();
         let token = peer_token(&self.entry.settings.fleet_key);
         let fetch = async move { fetch_from_peer(client, address, token, known).await };
         let done = fetch.into_actor(self).map(|result, control, cx| {
-            control.spread.fetching = false;
+            control.config_sync.is_fetching = false;
             control.on_fetched(result, "peer", cx);
         });
         cx.spawn(done);
@@ -259,7 +257,7 @@
         match result {
             Ok(configuration) => {
                 if self.adopt(Arc::new(configuration), source) {
-                    self.spread_news(cx);
+                    self.broadcast_update(cx);
                 }
             }
             Err(reason) => self.entry.log(
@@ -270,7 +268,7 @@
     }
 }
 
-/// Parsing thousands of organisations takes a while: not on this thread.
+/// Parses and checks on a blocking thread, as it may take long.
 async fn build(head: Head, chunks: Chunks) -> Result<Configuration, String> {
     actix_rt::task::spawn_blocking(move || {
         Configuration::build(head, chunks).map_err(|err| err.to_string())
@@ -279,7 +277,7 @@
     .map_err(|err| err.to_string())?
 }
 
-/// Chunks of `head`: those known, and the others from the store.
+/// Returns the chunks of `head`, reading those not in `known` from the store.
 pub async fn chunks_from_store(
     store: &StoreClient,
     head: &Head,
@@ -303,7 +301,7 @@
     let found = store.get(&chunk_key(hash)).await;
     let (_, bytes) = found
         .map_err(|err| err.to_string())?
-        .ok_or_else(|| format!("chunk {} is not in the store", hex::encode(hash)))?;
+        .ok_or_else(|| format!("chunk {} is missing from the store", hex::encode(hash)))?;
     check_hash(hash, bytes)
 }
 
@@ -311,7 +309,10 @@
     if hash_chunk(&bytes) == *hash {
         Ok(bytes)
     } else {
-        Err(format!("chunk {} has other content", hex::encode(hash)))
+        Err(format!(
+            "content of chunk {} doesn't match its hash",
+            hex::encode(hash)
+        ))
     }
 }
 
@@ -321,7 +322,7 @@
     token: String,
     known: Chunks,
 ) -> Result<Configuration, String> {
-    let head = ask_peer(&client, address, &token, &[]).await?.head;
+    let head = request_chunks(&client, address, &token, &[]).await?.head;
     let missing: Vec<ChunkHash> = head
         .chunk_hashes()
         .filter(|hash| !known.contains_key(*hash))
@@ -332,7 +333,7 @@
         .filter_map(|hash| Some((*hash, known.get(hash)?.clone())))
         .collect();
     if !missing.is_empty() {
-        let reply = ask_peer(&client, address, &token, &missing).await?;
+        let reply = request_chunks(&client, address, &token, &missing).await?;
         for (hash, bytes) in missing.iter().zip(reply.chunks) {
             let bytes = check_hash(hash, bytes.into_vec())?;
             chunks.insert(*hash, Arc::new(bytes));
@@ -341,7 +342,7 @@
     build(head, chunks).await
 }
 
-async fn ask_peer(
+async fn request_chunks(
     client: &Client,
     address: SocketAddr,
     token: &str,
@@ -359,7 +360,10 @@
         .await
         .map_err(|err| err.to_string())?;
     if !res.status().is_success() {
-        return Err(format!("the peer answered with status {}", res.status()));
+        return Err(format!(
+            "peer {address} answered with status {}",
+            res.status()
+        ));
     }
     let body = res
         .body()
--- a/crates/entry/src/control/gossip.rs
+++ b/crates/entry/src/control/gossip.rs
@@ -1,5 +1,5 @@
-//! Exchanges with peers: at every tick with one, and at once with a few when
-//! there is news.
+//! Gossip with peers: one exchange at every tick, and immediate exchanges with
+//! a few random peers after a local change.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -14,16 +14,16 @@
 use crate::auth::{peer_token, PEER_HEADER};
 use crate::control::Control;
 
-/// Longest wait for a peer's half.
+/// Longest wait for a peer's reply.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Largest exchange in bytes: what a newcomer is told.
+/// Largest reply in bytes; a joining entry receives the whole member list.
 const MAX_EXCHANGE_BYTES: usize = 1024 * 1024;
-/// Peers told at once when there is news.
-const NEWS_FANOUT: usize = 3;
+/// Peers notified immediately of an update.
+const UPDATE_FANOUT: usize = 3;
 
 impl Control {
-    /// Begins ticking, at a random phase so that entries started together do
-    /// not speak together.
+    /// Starts the ticks at a random phase, so that entries started together
+    /// don't send their exchanges together.
     pub(crate) fn start_gossip(&mut self, cx: &mut Context<Self>) {
         let phase = self.tick.mul_f64(self.rng.random());
         cx.run_later(phase, |control, cx| {
@@ -41,17 +41,16 @@
         self.publish();
     }
 
-    /// Tells a few peers at once.
-    pub(crate) fn spread_news(&mut self, cx: &mut Context<Self>) {
-        for address in self.fleet.random_peers(NEWS_FANOUT, &mut self.rng) {
+    /// Sends an exchange to a few random peers immediately.
+    pub(crate) fn broadcast_update(&mut self, cx: &mut Context<Self>) {
+        for address in self.fleet.random_peers(UPDATE_FANOUT, &mut self.rng) {
             self.exchange(address, cx);
         }
     }
 
-    /// Tells every peer; used once, by an entry that is about to go. The
-    /// future ends when each has answered or not in time, and gives the number
-    /// that did.
-    pub(crate) fn spread_to_all(&mut self) -> impl Future<Output = usize> {
+    /// Sends an exchange to every peer, before this entry exits. Resolves to the
+    /// number of peers that replied within [`EXCHANGE_TIMEOUT`].
+    pub(crate) fn broadcast_to_all(&mut self) -> impl Future<Output = usize> {
         let message = self.fleet.message();
         let token = peer_token(&self.entry.settings.fleet_key);
         let sent: Vec<_> = self
@@ -75,7 +74,7 @@
                 None => control.fleet.fail(now, address),
             }
             control.publish();
-            control.look_for_newer(cx);
+            control.fetch_newer_from_peer(cx);
         });
         cx.spawn(done);
     }
--- a/crates/entry/src/control/health.rs
+++ b/crates/entry/src/control/health.rs
@@ -1,8 +1,9 @@
-//! What answers say of targets and stages.
+//! Health of targets and latency of stages, from the outcomes of attempts.
 //!
-//! Facts come from traffic; this module keeps a [`TargetHealth`] per target
-//! and a [`LatencyWindow`] per stage, carries them by name across revisions,
-//! and makes the parts of the view that routing and deadlines read.
+//! Keeps a [`TargetHealth`] per target and a [`LatencyWindow`] per stage,
+//! updated from the reports of traffic threads and carried over by name when
+//! the revision changes, and builds the parts of the view that routing and
+//! deadlines read.
 
 use std::collections::HashMap;
 use std::sync::atomic::AtomicU32;
@@ -15,32 +16,29 @@
     HealthRules, LatencyWindow, Millis, Observation, RetryBudget, StageExpectation, TargetHealth,
 };
 
+use crate::attempt_report::AttemptReport;
 use crate::configuration::Configuration;
 use crate::control::Control;
 use crate::events;
-use crate::fact::Fact;
 use crate::gate::Gate;
 use crate::view::{ServiceView, TargetView};
 
-/// Share of requests that the fast figure of a stage stands for.
-const FAST: f64 = 0.05;
-/// Share that the typical figure stands for.
-const TYPICAL: f64 = 0.5;
-/// Share that the slow figure stands for.
-const SLOW: f64 = 0.95;
-/// Until measured, "slow" is this multiple of the expected time.
-const UNMEASURED_SLOW: u64 = 4;
+const FAST_QUANTILE: f64 = 0.05;
+const TYPICAL_QUANTILE: f64 = 0.5;
+const SLOW_QUANTILE: f64 = 0.95;
+/// Without measurements, the slow time is this multiple of the configured time.
+const DEFAULT_SLOW_FACTOR: u64 = 4;
 
-/// One target's state across revisions.
+/// State of one target, carried over between revisions.
 #[derive(Debug, Clone, Default)]
 struct TargetState {
     health: TargetHealth,
     in_flight: Arc<AtomicU32>,
-    /// Load and when it was reported.
-    reported: Option<(f64, Millis)>,
+    /// Load that the target last reported, and the time of the report.
+    reported_load: Option<(f64, Millis)>,
 }
 
-/// All targets and stages of the configuration in force.
+/// State of all targets and stages of the configuration in force.
 #[derive(Debug, Default)]
 pub struct HealthState {
     configuration: Option<Arc<Configuration>>,
@@ -51,7 +49,7 @@
 }
 
 impl HealthState {
-    /// Moves to a new revision; what is known goes with the names.
+    /// Switches to a new revision; state is carried over by name.
     pub fn rebuild(&mut self, configuration: &Arc<Configuration>) {
         let mut known_targets = self.take_targets();
         let mut known_stages = self.take_stages();
@@ -100,7 +98,7 @@
         names.into_iter().zip(states).collect()
     }
 
-    /// Requests may wait at a gate while the revision changes.
+    /// Gates are carried over because requests may be waiting at them.
     fn take_gates(&mut self) -> HashMap<String, Arc<Gate>> {
         let views = std::mem::take(&mut self.services);
         let names = self.deployment().map_or(Vec::new(), |deployment| {
@@ -129,26 +127,26 @@
             .collect()
     }
 
-    /// Takes a fact; facts about another revision's keys are passed over.
-    fn take(&mut self, now: Millis, fact: &Fact) {
-        if self.configuration.as_ref().map(|c| c.revision()) != Some(fact.revision) {
+    /// Records an attempt; reports with the keys of another revision are ignored.
+    fn record(&mut self, now: Millis, report: &AttemptReport) {
+        if self.configuration.as_ref().map(|c| c.revision()) != Some(report.revision) {
             return;
         }
-        let typical_ms = self.typical_ms(fact.pipeline, fact.stage);
-        if let Some(state) = self.targets.get_mut(fact.target.index()) {
-            state.health.observe(fact.observation, typical_ms);
-            if let Some(load) = fact.notice.load {
-                state.reported = Some((f64::from(load), now));
+        let typical_ms = self.typical_ms(report.pipeline, report.stage);
+        if let Some(state) = self.targets.get_mut(report.target.index()) {
+            state.health.observe(report.observation, typical_ms);
+            if let Some(load) = report.notice.load {
+                state.reported_load = Some((f64::from(load), now));
             }
         }
         let window = self
             .stages
-            .get_mut(fact.pipeline.index())
-            .and_then(|stages| stages.get_mut(fact.stage));
-        // A timed-out attempt counts with the time it waited: when a service
-        // slows down as a whole, what counts as hung has to follow.
+            .get_mut(report.pipeline.index())
+            .and_then(|stages| stages.get_mut(report.stage));
+        // A timed-out attempt counts with the time it waited, so that the
+        // attempt time limit follows when the whole service slows down.
         if let (Some(window), Observation::Answered(ms) | Observation::TimedOut(ms)) =
-            (window, fact.observation)
+            (window, report.observation)
         {
             window.record(now, ms);
         }
@@ -162,8 +160,8 @@
         typical(u64::from(expected), &self.stages[pipeline.index()][stage])
     }
 
-    /// Ejects what deserves it; returns the targets newly out.
-    fn eject(&mut self, now: Millis) -> Vec<TargetKey> {
+    /// Ejects unhealthy targets; returns those newly ejected.
+    fn eject_unhealthy(&mut self, now: Millis) -> Vec<TargetKey> {
         let Some(configuration) = self.configuration.clone() else {
             return Vec::new();
         };
@@ -174,8 +172,8 @@
                 .iter()
                 .map(|key| self.targets[key.index()].health.clone())
                 .collect();
-            for at in eject_worst(now, &self.rules, &mut healths) {
-                ejected.push(service.targets[at]);
+            for index in eject_worst(now, &self.rules, &mut healths) {
+                ejected.push(service.targets[index]);
             }
             for (key, health) in service.targets.iter().zip(healths) {
                 self.targets[key.index()].health = health;
@@ -184,34 +182,36 @@
         ejected
     }
 
-    /// The view's targets, in the order of the arena.
+    /// The view's targets, in the order of the deployment's arena.
     pub fn target_views(&self, now: Millis, hosts: &HostView) -> Vec<TargetView> {
         let Some(deployment) = self.deployment() else {
             return Vec::new();
         };
-        let half_lives = self.half_lives(deployment);
+        let half_lives = self.report_half_lives(deployment);
         deployment
             .targets
             .iter()
             .zip(&self.targets)
             .map(|(target, state)| {
                 let half_life = half_lives[target.service.index()];
-                let weight = |at| 0.5f64.powf((now - at) as f64 / half_life);
+                let weight = |reported_at| 0.5f64.powf((now - reported_at) as f64 / half_life);
                 TargetView {
                     in_flight: state.in_flight.clone(),
                     slowness: state.health.slowness(),
                     ejected: state.health.is_ejected(now),
                     takes_work: hosts.takes_work(&target.name),
-                    reported: state.reported.map_or(0.0, |(load, _)| load),
-                    report_weight: state.reported.map_or(0.0, |(_, at)| weight(at)),
+                    reported_load: state.reported_load.map_or(0.0, |(load, _)| load),
+                    report_weight: state
+                        .reported_load
+                        .map_or(0.0, |(_, reported_at)| weight(reported_at)),
                 }
             })
             .collect()
     }
 
-    /// A reported load says little once its requests have ended: it counts half
-    /// after the longest typical time of the service's stages.
-    fn half_lives(&self, deployment: &Deployment) -> Vec<f64> {
+    /// Half-life in milliseconds of a reported load, by service: the longest
+    /// typical time of its stages, after which the reported requests have ended.
+    fn report_half_lives(&self, deployment: &Deployment) -> Vec<f64> {
         let mut longest = vec![1; deployment.services.len()];
         for (pipeline, windows) in deployment.pipelines.iter().zip(&self.stages) {
             for (stage, window) in pipeline.stages.iter().zip(windows) {
@@ -223,7 +223,7 @@
         longest.into_iter().map(|ms| ms as f64).collect()
     }
 
-    /// The view's services, in the order of the arena.
+    /// The view's services, in the order of the deployment's arena.
     pub fn service_views(&self) -> Vec<ServiceView> {
         self.services.clone()
     }
@@ -250,44 +250,45 @@
 }
 
 fn typical(expected_ms: u64, window: &LatencyWindow) -> Millis {
-    window.quantile(TYPICAL).unwrap_or(expected_ms)
+    window.quantile(TYPICAL_QUANTILE).unwrap_or(expected_ms)
 }
 
 fn expectation(expected_ms: u64, window: &LatencyWindow) -> StageExpectation {
     StageExpectation {
-        fast_ms: window.quantile(FAST).unwrap_or(0),
+        fast_ms: window.quantile(FAST_QUANTILE).unwrap_or(0),
         typical_ms: typical(expected_ms, window),
         slow_ms: window
-            .quantile(SLOW)
-            .unwrap_or(UNMEASURED_SLOW * expected_ms),
+            .quantile(SLOW_QUANTILE)
+            .unwrap_or(DEFAULT_SLOW_FACTOR * expected_ms),
     }
 }
 
 impl Control {
-    pub(crate) fn take_fact(&mut self, fact: &Fact) {
+    pub(crate) fn record_attempt(&mut self, report: &AttemptReport) {
         let now = self.now();
-        self.health.take(now, fact);
+        self.health.record(now, report);
         let current = self.configuration.as_ref().map(|c| c.revision());
-        if fact.notice.leaving && current == Some(fact.revision) {
+        if report.notice.leaving && current == Some(report.revision) {
             let name = self
                 .configuration
                 .as_ref()
-                .map(|c| c.deployment.target(fact.target).name.clone());
-            self.learn_leaving(&name.unwrap_or_default(), "target");
+                .map(|c| c.deployment.target(report.target).name.clone());
+            self.mark_draining(&name.unwrap_or_default(), "target");
         }
     }
 
-    /// Other entries' calls end unseen: whoever is next looks again.
-    pub(crate) fn wake_waiting(&self) {
+    /// Wakes the next waiter of each gate: a slot may have become free because a
+    /// call of another entry ended.
+    pub(crate) fn wake_waiters(&self) {
         self.health
             .services
             .iter()
             .for_each(|service| service.gate.wake_one());
     }
 
-    pub(crate) fn judge_health(&mut self) {
+    pub(crate) fn eject_unhealthy_targets(&mut self) {
         let now = self.now();
-        let ejected = self.health.eject(now);
+        let ejected = self.health.eject_unhealthy(now);
         let Some(configuration) = &self.configuration else {
             return;
         };
--- a/crates/entry/src/control/hosts.rs
+++ b/crates/entry/src/control/host_list.rs
@@ -1,8 +1,8 @@
-//! Reading the host list, and learning that hosts leave by other ways.
+//! Reads the host list, and records hosts that are draining.
 //!
-//! A few entries of each hall read the list every second; the others read it
-//! when a peer reports another list than theirs, and now and then to be sure.
-//! An unchanged list is not sent again.
+//! A few entries of each hall, the list readers, read it every second. The
+//! others read it when a peer reports a different list, and every
+//! `MAX_LIST_AGE_MS`. The list's tag makes the server skip an unchanged list.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
@@ -14,37 +14,37 @@
 use crate::control::Control;
 use crate::events;
 
-/// Between two looks at whether a read is due.
-const READ_EVERY: Duration = Duration::from_secs(1);
-/// Readers in each hall.
+/// Interval between two checks whether a read is due.
+const READ_INTERVAL: Duration = Duration::from_secs(1);
+/// List readers in each hall.
 const READERS_PER_HALL: usize = 2;
-/// Between two reads of an entry that is no reader.
-const BE_SURE_MS: Millis = 60_000;
+/// Age at which an entry that isn't a list reader reads the list again.
+const MAX_LIST_AGE_MS: Millis = 60_000;
 
-/// The list's client, and what it last gave.
-pub struct HostState {
+/// Client of the host list, and the state of its last read.
+pub struct HostListState {
     client: Option<HostListClient>,
     reading: bool,
     tag: Option<String>,
-    last_read: Option<Millis>,
+    last_read_at: Option<Millis>,
 }
 
-impl HostState {
+impl HostListState {
     pub fn new(client: Option<HostListClient>) -> Self {
-        HostState {
+        HostListState {
             client,
             reading: false,
             tag: None,
-            last_read: None,
+            last_read_at: None,
         }
     }
 }
 
 impl Control {
-    pub(crate) fn start_hosts(&mut self, cx: &mut Context<Self>) {
+    pub(crate) fn start_host_list(&mut self, cx: &mut Context<Self>) {
         if self.hosts.client.is_some() {
             self.read_hosts(cx);
-            cx.run_interval(READ_EVERY, |control, cx| {
+            cx.run_interval(READ_INTERVAL, |control, cx| {
                 if control.read_is_due() {
                     control.read_hosts(cx);
                 }
@@ -54,9 +54,13 @@
 
     fn read_is_due(&self) -> bool {
         let now = self.now();
-        let old = self.hosts.last_read.is_none_or(|at| now - at >= BE_SURE_MS);
+        let outdated = self
+            .hosts
+            .last_read_at
+            .is_none_or(|at| now - at >= MAX_LIST_AGE_MS);
         let unsettled = !self.fleet.hosts.is_settled();
-        old || unsettled
+        outdated
+            || unsettled
             || self.fleet.list_differs()
             || self.fleet.asks_for_all("host list", READERS_PER_HALL)
     }
@@ -71,9 +75,9 @@
         let done = read.into_actor(self).map(|result, control, _| {
             control.hosts.reading = false;
             if let Ok(read) = result {
-                control.hosts.last_read = Some(control.now());
+                control.hosts.last_read_at = Some(control.now());
                 match read {
-                    Some(list) => control.take_list(list),
+                    Some(list) => control.apply_list(list),
                     None => control.fleet.hosts.read_again(),
                 }
                 control.publish();
@@ -82,7 +86,7 @@
         cx.spawn(done);
     }
 
-    fn take_list(&mut self, list: HostList) {
+    fn apply_list(&mut self, list: HostList) {
         let hosts: Vec<_> = list
             .hosts
             .iter()
@@ -103,8 +107,9 @@
         }
     }
 
-    /// A host is leaving, by the word of an operator or of itself.
-    pub(crate) fn learn_leaving(&mut self, name: &str, source: &str) {
+    /// Records that a host is draining, as `source` reported: an operator or the
+    /// target itself.
+    pub(crate) fn mark_draining(&mut self, name: &str, source: &str) {
         if self.fleet.hosts.learn_by_name(name) {
             self.entry.log(
                 events::HOST_LEAVING,
@@ -115,7 +120,7 @@
     }
 }
 
-/// Equal for equal lists in all entries; never 0.
+/// Hash that is equal on all entries for equal lists; never 0.
 fn hash_of(hosts: &[ListedHost]) -> u64 {
     let mut hasher = DefaultHasher::new();
     for host in hosts {
--- a/crates/entry/src/control/messages.rs
+++ b/crates/entry/src/control/messages.rs
@@ -1,4 +1,7 @@
-//! Messages to the control thread, and their handlers.
+//! Messages to the control actor and their handlers.
+//!
+//! Traffic threads, the peers' and the operators' listeners and the planned stop
+//! reach the control state only through these.
 
 use std::sync::Arc;
 
@@ -6,41 +9,42 @@
 use hollowsail_fleet::{Exchange, Incarnation, Member, Standing, Stopping};
 use serde::{Deserialize, Serialize};
 
+use crate::attempt_report::AttemptReport;
 use crate::configuration::Configuration;
 use crate::control::Control;
 use crate::events;
-use crate::fact::Fact;
 
-/// A peer's half of an exchange; answered with ours.
+/// An exchange received from a peer; answered with this entry's.
 #[derive(Message)]
 #[rtype(result = "MessageResponse")]
-pub struct Incoming(pub Exchange);
+pub struct ReceivedExchange(pub Exchange);
 
-/// Our half of an exchange.
+/// This entry's reply to an exchange.
 pub struct MessageResponse(pub Exchange);
 
-impl Handler<Incoming> for Control {
-    type Result = MessageResult<Incoming>;
+impl Handler<ReceivedExchange> for Control {
+    type Result = MessageResult<ReceivedExchange>;
 
-    fn handle(&mut self, message: Incoming, cx: &mut Context<Self>) -> Self::Result {
+    fn handle(&mut self, message: ReceivedExchange, cx: &mut Context<Self>) -> Self::Result {
         let now = self.now();
-        let newcomer = message.0.wants_all;
+        let wants_all = message.0.wants_all;
         self.fleet.receive(now, message.0);
         self.publish();
-        self.look_for_newer(cx);
-        MessageResult(MessageResponse(self.fleet.reply(newcomer)))
+        self.fetch_newer_from_peer(cx);
+        MessageResult(MessageResponse(self.fleet.reply(wants_all)))
     }
 }
 
-impl Handler<Fact> for Control {
+impl Handler<AttemptReport> for Control {
     type Result = ();
 
-    fn handle(&mut self, fact: Fact, _: &mut Context<Self>) {
-        self.take_fact(&fact);
+    fn handle(&mut self, report: AttemptReport, _: &mut Context<Self>) {
+        self.record_attempt(&report);
     }
 }
 
-/// Puts a configuration in force that this entry has accepted.
+/// Puts a configuration that this entry accepted in force; answers false when
+/// the revision isn't newer than the one in force.
 #[derive(Message)]
 #[rtype(result = "bool")]
 pub struct Adopt(pub Arc<Configuration>);
@@ -50,12 +54,12 @@
 
     fn handle(&mut self, message: Adopt, cx: &mut Context<Self>) -> bool {
         let adopted = self.adopt(message.0, "apply");
-        self.spread_news(cx);
+        self.broadcast_update(cx);
         adopted
     }
 }
 
-/// An operator says that a host is leaving.
+/// An operator's request to drain the host with this name.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct Drain(pub String);
@@ -64,12 +68,12 @@
     type Result = ();
 
     fn handle(&mut self, message: Drain, cx: &mut Context<Self>) {
-        self.learn_leaving(&message.0, "operator");
-        self.spread_news(cx);
+        self.mark_draining(&message.0, "operator");
+        self.broadcast_update(cx);
     }
 }
 
-/// A planned stop of this entry begins.
+/// Begins a planned stop: announces this entry as leaving.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct BeginStop;
@@ -81,41 +85,41 @@
         self.entry.log(events::STOP_BEGUN, format_args!(""));
         self.fleet.set_stopping(Stopping::Leaving, None);
         self.publish();
-        self.spread_news(cx);
+        self.broadcast_update(cx);
     }
 }
 
-/// This entry has stopped; a successor answers for its tickets, if any. The
-/// answer is the number of peers that know.
+/// Announces that this entry has stopped, and the successor that took over its
+/// ledger, if any. Answered with the number of peers that replied.
 #[derive(Message)]
 #[rtype(result = "usize")]
-pub struct LeaveFor(pub Option<Incarnation>);
+pub struct AnnounceLeft(pub Option<Incarnation>);
 
-impl Handler<LeaveFor> for Control {
+impl Handler<AnnounceLeft> for Control {
     type Result = ResponseFuture<usize>;
 
-    fn handle(&mut self, message: LeaveFor, _: &mut Context<Self>) -> Self::Result {
+    fn handle(&mut self, message: AnnounceLeft, _: &mut Context<Self>) -> Self::Result {
         self.fleet.set_stopping(Stopping::Left, message.0);
         self.publish();
-        Box::pin(self.spread_to_all())
+        Box::pin(self.broadcast_to_all())
     }
 }
 
-/// Asks for what operators want to know.
+/// Requests the operators' status report.
 #[derive(Message)]
 #[rtype(result = "StatusReply")]
 pub struct Status;
 
-/// What this entry knows of itself and the others.
+/// State of this entry, and of the members and targets as this entry sees them.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct StatusReport {
     pub entry: String,
     pub revision: u64,
-    /// Milliseconds since that revision came in force here.
+    /// Milliseconds since that revision came into force here.
     pub revision_age_ms: Option<u64>,
     pub apply_id: Option<String>,
     pub standing: String,
-    /// Milliseconds since the store last answered; `None`: never.
+    /// Milliseconds since the store last answered; `None` if it never did.
     pub store_age_ms: Option<u64>,
     pub ledger_open: usize,
     pub ledger_records: usize,
@@ -123,7 +127,7 @@
     pub targets: Vec<TargetStatus>,
 }
 
-/// One entry, as the answering one sees it.
+/// One entry, as the reporting entry sees it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MemberStatus {
     pub name: String,
@@ -132,8 +136,8 @@
     pub health: String,
     pub stopping: String,
     pub revision: u64,
-    /// Milliseconds since it spoke to the answering entry itself; `None`: not
-    /// yet. What is shown of it may be as old as that.
+    /// Milliseconds since the reporting entry last received an exchange from it;
+    /// `None` if it never did. The other fields may be as old as that.
     pub heard_ms_ago: Option<u64>,
 }
 
@@ -151,18 +155,18 @@
     }
 }
 
-/// One target, as the answering entry sees it.
+/// One target, as the reporting entry sees it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TargetStatus {
     pub name: String,
     pub in_flight: u32,
-    /// Recent times over typical ones; 1 is as usual.
+    /// Ratio of recent to typical latency; 1 is normal.
     pub slowness: f64,
     pub ejected: bool,
     pub takes_work: bool,
 }
 
-/// Envelope, since actix wants a type of its own for the answer.
+/// Newtype for the handler's result.
 pub struct StatusReply(pub StatusReport);
 
 impl Handler<Status> for Control {
@@ -172,7 +176,7 @@
         let now = self.now();
         let (open, records) = {
             let once = self.entry.once.lock().expect("no panic while held");
-            (once.open_records(), once.records())
+            (once.open_record_count(), once.record_count())
         };
         let view = self.entry.view();
         let standing = match view.standing {
@@ -182,8 +186,8 @@
         };
         let own = self.fleet.own();
         let others = self.fleet.others().into_iter().map(|member| {
-            let heard = self.fleet.last_heard(member.incarnation);
-            MemberStatus::new(member, heard.map(|at| now - at))
+            let last_received = self.fleet.last_heard(member.incarnation);
+            MemberStatus::new(member, last_received.map(|at| now - at))
         });
         let members = std::iter::once(MemberStatus::new(own, Some(0)))
             .chain(others)
@@ -194,7 +198,7 @@
             revision_age_ms: self.in_force_since.map(|at| now - at),
             apply_id: self.configuration.as_ref().map(|c| c.head.apply_id.clone()),
             standing: standing.into(),
-            store_age_ms: self.spread.last_store.map(|at| now - at),
+            store_age_ms: self.config_sync.last_store_answer.map(|at| now - at),
             ledger_open: open,
             ledger_records: records,
             members,
--- a/crates/entry/src/control/mod.rs
+++ b/crates/entry/src/control/mod.rs
@@ -1,19 +1,17 @@
 //! The control thread: one actor that owns all control state.
 //!
-//! It keeps the fleet's membership, the configuration in force, host status
-//! and target health, and publishes a [`View`] whenever one of them changes.
-//! Traffic tells it [`Fact`]s over a bounded mailbox. What it does over the
-//! network runs as futures of the actor and comes back as a method call:
-//! [`gossip`] exchanges with peers, [`spread`] finds newer configurations,
-//! [`hosts`] reads the host list, [`health`] judges targets, [`claims`] lets the
-//! keys of old claims lapse.
-
-pub mod claims;
+//! Keeps the fleet's membership ([`gossip`]), the configuration in force
+//! ([`config_sync`]), host status ([`host_list`]), target health ([`health`]) and
+//! the removal of expired claims ([`claim_expiry`]), and publishes a [`View`]
+//! whenever one of them changes. Traffic threads send it
+//! [`AttemptReport`](crate::attempt_report::AttemptReport)s over a bounded mailbox.
+
+pub mod claim_expiry;
+pub mod config_sync;
 pub mod gossip;
 pub mod health;
-pub mod hosts;
+pub mod host_list;
 pub mod messages;
-pub mod spread;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,16 +28,16 @@
 use crate::metrics;
 use crate::view::View;
 
-pub use messages::{Adopt, BeginStop, Drain, Incoming, LeaveFor, Status, StatusReport};
+pub use messages::{Adopt, AnnounceLeft, BeginStop, Drain, ReceivedExchange, Status, StatusReport};
 
-/// Messages that may wait for the control thread.
-const MAILBOX: usize = 4096;
-/// Between two published views of target health.
-const HEALTH_TICK: Duration = Duration::from_millis(50);
-/// Between two looks at timers that are not urgent.
-const HOUSEKEEPING: Duration = Duration::from_millis(1000);
+/// Most messages queued for the control thread.
+const MAILBOX_CAPACITY: usize = 4096;
+/// Interval between two evaluations of target health.
+const HEALTH_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval between two evictions of expired records and claims.
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// The actor.
+/// The control actor.
 pub struct Control {
     pub(crate) entry: Arc<Entry>,
     pub(crate) fleet: Fleet,
@@ -47,22 +45,22 @@
     pub(crate) rng: SmallRng,
     pub(crate) client: Client,
     pub(crate) configuration: Option<Arc<Configuration>>,
-    /// When that configuration came in force here.
+    /// When that configuration came into force here, in milliseconds of [`Entry::now`].
     pub(crate) in_force_since: Option<u64>,
-    pub(crate) spread: spread::SpreadState,
+    pub(crate) config_sync: config_sync::ConfigSync,
     pub(crate) health: health::HealthState,
-    pub(crate) hosts: hosts::HostState,
-    pub(crate) claims: claims::LapsingClaims,
-    standing_rule: StandingRule,
-    standing: Standing,
+    pub(crate) hosts: host_list::HostListState,
+    pub(crate) claims: claim_expiry::ExpiredClaims,
+    connectivity_rule: StandingRule,
+    connectivity: Standing,
     logged_members: Vec<Member>,
 }
 
 impl Control {
-    /// Made on the control thread, since its clients stay there.
+    /// Must be called on the control thread: the `awc` clients are thread-local.
     pub fn new(entry: Arc<Entry>, fleet: Fleet, tick: Duration, rng: SmallRng) -> Self {
         let settings = &entry.settings;
-        let standing_rule = StandingRule {
+        let connectivity_rule = StandingRule {
             isolation_ms: settings.limits.isolation_ms,
             alone_by_settings: settings.store.is_none() && settings.seeds.is_empty(),
         };
@@ -73,12 +71,12 @@
             client: http::pooled_client(),
             configuration: None,
             in_force_since: None,
-            spread: spread::SpreadState::new(settings.store.map(StoreClient::new)),
+            config_sync: config_sync::ConfigSync::new(settings.store.map(StoreClient::new)),
             health: health::HealthState::default(),
-            claims: claims::LapsingClaims::default(),
-            hosts: hosts::HostState::new(settings.host_list.map(HostListClient::new)),
-            standing_rule,
-            standing: Standing::Starting,
+            claims: claim_expiry::ExpiredClaims::default(),
+            hosts: host_list::HostListState::new(settings.host_list.map(HostListClient::new)),
+            connectivity_rule,
+            connectivity: Standing::Starting,
             logged_members: Vec::new(),
             entry,
         }
@@ -88,9 +86,9 @@
         self.entry.now()
     }
 
-    /// Publishes what traffic needs to know.
+    /// Publishes a snapshot for the traffic threads.
     pub(crate) fn publish(&mut self) {
-        self.judge_standing();
+        self.update_connectivity();
         let view = View {
             configuration: self.configuration.clone(),
             targets: self.health.target_views(self.now(), &self.fleet.hosts),
@@ -99,26 +97,27 @@
             own: self.fleet.own().clone(),
             members: self.fleet.others().into_iter().cloned().collect(),
             joined: self.fleet.has_joined(),
-            standing: self.standing,
+            standing: self.connectivity,
         };
         self.entry.publish(view);
     }
 
-    fn judge_standing(&mut self) {
-        let standing = self.standing_rule.judge(
+    fn update_connectivity(&mut self) {
+        let connectivity = self.connectivity_rule.judge(
             self.now(),
             self.configuration.is_some(),
-            self.spread.last_store,
+            self.config_sync.last_store_answer,
             self.fleet.last_contact(),
         );
-        if standing != self.standing {
-            self.standing = standing;
+        if connectivity != self.connectivity {
+            self.connectivity = connectivity;
             self.entry
-                .log(events::STANDING, format_args!("standing={standing:?}"));
+                .log(events::STANDING, format_args!("standing={connectivity:?}"));
         }
     }
 
-    /// Puts a configuration in force if it is newer than the present one.
+    /// Puts a configuration in force if it is newer than the current one; returns
+    /// whether it did. `source` is logged.
     pub(crate) fn adopt(&mut self, configuration: Arc<Configuration>, source: &str) -> bool {
         let revision = configuration.revision();
         let current = self.configuration.as_ref().map_or(0, |c| c.revision());
@@ -137,28 +136,28 @@
         true
     }
 
-    fn housekeep(&mut self, cx: &mut Context<Self>) {
+    fn run_housekeeping(&mut self, cx: &mut Context<Self>) {
         let now = self.now();
-        let (records, lapsed) = {
+        let (records, expired_claims) = {
             let mut once = self.entry.once.lock().expect("no panic while held");
-            let lapsed = once.housekeep(now);
-            (once.records(), lapsed)
+            let expired_claims = once.evict_expired(now);
+            (once.record_count(), expired_claims)
         };
-        self.lapse_claims(lapsed, cx);
+        self.expire_claims(expired_claims, cx);
         let revision = self.configuration.as_ref().map_or(0, |c| c.revision());
         let members = self.fleet.others().len() + 1;
         metrics::set_control_gauges(&self.entry.settings.name, revision, members, records);
-        self.log_members();
+        self.log_member_changes();
     }
 
-    fn log_members(&mut self) {
+    fn log_member_changes(&mut self) {
         let members: Vec<Member> = self.fleet.others().into_iter().cloned().collect();
         for member in &members {
-            let before = self
+            let previous = self
                 .logged_members
                 .iter()
                 .find(|known| known.incarnation == member.incarnation);
-            let changed = before.is_none_or(|known| {
+            let changed = previous.is_none_or(|known| {
                 (known.health, known.stopping) != (member.health, member.stopping)
             });
             if changed {
@@ -179,16 +178,18 @@
     type Context = Context<Self>;
 
     fn started(&mut self, cx: &mut Self::Context) {
-        cx.set_mailbox_capacity(MAILBOX);
+        cx.set_mailbox_capacity(MAILBOX_CAPACITY);
         self.publish();
         self.start_gossip(cx);
-        self.start_spread(cx);
-        self.start_hosts(cx);
-        cx.run_interval(HEALTH_TICK, |control, _| {
-            control.judge_health();
+        self.start_config_sync(cx);
+        self.start_host_list(cx);
+        cx.run_interval(HEALTH_INTERVAL, |control, _| {
+            control.eject_unhealthy_targets();
             control.publish();
-            control.wake_waiting();
+            control.wake_waiters();
+        });
+        cx.run_interval(HOUSEKEEPING_INTERVAL, |control, cx| {
+            control.run_housekeeping(cx)
         });
-        cx.run_interval(HOUSEKEEPING, |control, cx| control.housekeep(cx));
     }
 }
--- a/crates/entry/src/crashes.rs
+++ b/crates/entry/src/crashes.rs
@@ -1,8 +1,9 @@
-//! Requests that end the targets that run them, by what this entry saw.
+//! Requests that crash the targets that run them.
 //!
-//! A target whose answer broke off is asked for a connection; one that refuses has ended.
-//! [`CrashLedger`] counts what ended under a request, whatever its id, and a request under
-//! which too many ended is refused before its first stage. Each entry counts for itself.
+//! When an answer is interrupted, the entry tries to connect to the target; a refused
+//! connection means that it has crashed. [`CrashLedger`] counts the crashes per request
+//! digest, and a request with too many is refused before its first stage. Each entry
+//! counts on its own.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard};
@@ -15,10 +16,11 @@
 use crate::kinds::ErrorKind;
 use crate::task::Failure;
 
-/// Targets that may end under one run of a request: one may end for its own reasons.
-pub const MOST_ENDED: u32 = 2;
+/// Crashed targets after which a stage isn't retried; a single crash may have another
+/// cause than the request.
+pub const MAX_CRASHES: u32 = 2;
 
-/// What this entry knows of requests that end targets.
+/// The crash ledger of this entry.
 #[derive(Debug, Default)]
 pub struct Crashes {
     ledger: Mutex<CrashLedger>,
@@ -29,23 +31,23 @@
         self.ledger.lock().expect("no holder panics")
     }
 
-    /// The digest of a job, worked out only where anything is known of any request.
-    fn if_any(&self, job: &Job) -> Option<RequestDigest> {
+    /// The digest of a job; `None` without computing it when the ledger is empty.
+    fn digest_if_needed(&self, job: &Job) -> Option<RequestDigest> {
         let is_empty = self.ledger().is_empty();
         (!is_empty).then(|| digest(job))
     }
 
-    /// Refuses a request that ends targets.
-    pub fn judge(&self, now: Millis, job: &Job) -> Result<(), Failure> {
-        let Some(request) = self.if_any(job) else {
+    /// Refuses a request that is known to crash targets.
+    pub fn check(&self, now: Millis, job: &Job) -> Result<(), Failure> {
+        let Some(request) = self.digest_if_needed(job) else {
             return Ok(());
         };
         match self.ledger().standing(now, request) {
             Standing::Refused { until } => {
-                let left_ms = until - now;
+                let retry_ms = until - now;
                 let message = format!(
-                    "{CRASHES_TO_REFUSE} targets ended while they ran it; \
-                     it runs once more in {left_ms} ms"
+                    "{CRASHES_TO_REFUSE} targets crashed while they ran this request; \
+                     it may run again in {retry_ms} ms"
                 );
                 Err((ErrorKind::EndsTargets, message))
             }
@@ -53,30 +55,31 @@
         }
     }
 
-    /// A target ended while it ran a request. Returns how many have, where that counts.
-    pub fn ended(&self, now: Millis, job: &Job, sent: Millis) -> Option<u32> {
+    /// Records that a target crashed while it ran a request that was sent to it at
+    /// `sent_at`. Returns the number of crashes if this one counts.
+    pub fn record_crash(&self, now: Millis, job: &Job, sent_at: Millis) -> Option<u32> {
         let run = CrashedRun {
-            sent,
+            sent: sent_at,
             ended: now,
             was_suspect: false,
         };
         self.ledger().crashed(now, digest(job), run)
     }
 
-    /// A request was answered whole: it ends no target.
-    pub fn served(&self, job: &Job) {
-        if let Some(request) = self.if_any(job) {
+    /// Records a complete answer: the request doesn't crash targets.
+    pub fn record_success(&self, job: &Job) {
+        if let Some(request) = self.digest_if_needed(job) {
             self.ledger().served(request);
         }
     }
 }
 
-/// True when no process listens at a target's address any more.
-pub async fn has_ended(target: SocketAddr) -> bool {
+/// True when no process listens at the target's address any more.
+pub async fn has_crashed(target: SocketAddr) -> bool {
     EndCheck::default().has_ended(target).await
 }
 
-/// What is the same of a request whatever its id: who asks, for what, with what.
+/// Digest of organisation, pipeline and input, independent of the request id.
 fn digest(job: &Job) -> RequestDigest {
     let input = job.input.to_string();
     let fields = [&job.org, &job.pipeline().name, &input];
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -1,5 +1,5 @@
-//! One dispatch: the call to the chosen target, streamed or not, within its
-//! time.
+//! One dispatch: the call to the chosen target, streamed or not, within a time
+//! limit.
 
 use std::time::{Duration, Instant};
 
@@ -12,7 +12,7 @@
 use crate::routes::Route;
 use crate::task::StageTask;
 
-/// Tokens that a broken stream delivered, and where it can go on.
+/// Tokens received from an interrupted stream, and the target that can resume it.
 #[derive(Default)]
 pub struct Partial {
     text: String,
@@ -21,23 +21,23 @@
 }
 
 impl Partial {
-    /// The target that can go on with the stream.
+    /// The target that can resume the stream.
     pub fn target(&self) -> Option<TargetKey> {
         self.target.filter(|_| self.tokens > 0)
     }
 }
 
-/// How a dispatch ended.
+/// Result of a dispatch.
 pub struct Dispatched {
     pub result: Result<(Value, TargetNotice), CallError>,
     pub waited: Duration,
-    /// Its time was over before it ended.
+    /// The time limit passed before the answer was complete.
     pub timed_out: bool,
-    /// It delivered tokens before it broke: the same target may go on.
+    /// It delivered tokens before it was interrupted: the same target may resume.
     pub may_resume: bool,
 }
 
-/// What a target is asked, but for the dispatch id.
+/// The call of a stage to a target; the caller sets the dispatch id.
 pub fn new_call(task: &StageTask<'_>, input: Value) -> Call {
     let job = task.job;
     let deployment = &job.configuration.deployment;
@@ -60,7 +60,7 @@
     }
 }
 
-/// Calls the target and waits for its whole answer, `limit` at the longest.
+/// Calls the target and waits at most `limit` for its complete answer.
 pub async fn dispatch(
     task: &StageTask<'_>,
     call: &mut Call,
@@ -68,7 +68,7 @@
     limit: Duration,
     partial: &mut Partial,
 ) -> Dispatched {
-    let begun = Instant::now();
+    let started = Instant::now();
     let tokens_before = partial.tokens;
     let service = task
         .job
@@ -79,35 +79,41 @@
     let org = &task.job.org;
     let timed = match service.kind {
         ServiceKind::Engine => {
-            begin_stream(call, route, partial, task.sink).await;
+            prepare_stream(call, route, partial, task.sink).await;
             let stream = read_stream(client, org, call, route, limit, partial, task.sink);
             timeout(limit, stream).await
         }
         _ => {
-            let whole = target::call(client, route.address, org, call, limit);
-            timeout(limit, whole).await
+            let answer = target::call(client, route.address, org, call, limit);
+            timeout(limit, answer).await
         }
     };
-    let waited = begun.elapsed();
+    let waited = started.elapsed();
     let timed_out = timed.is_err() || waited >= limit;
     Dispatched {
-        result: timed.unwrap_or_else(|_| Err(late(limit))),
+        result: timed.unwrap_or_else(|_| Err(timeout_error(limit))),
         waited,
         timed_out,
         may_resume: partial.tokens > tokens_before && !timed_out,
     }
 }
 
-fn late(limit: Duration) -> CallError {
+fn timeout_error(limit: Duration) -> CallError {
     CallError {
         sent: Sent::Something,
         leaving: false,
-        reason: format!("no whole answer within {} ms", limit.as_millis()),
+        reason: format!("no complete answer within {} ms", limit.as_millis()),
     }
 }
 
-/// Decides whether a stream goes on from where it broke or starts anew.
-async fn begin_stream(call: &mut Call, route: &Route, partial: &mut Partial, sink: Option<&Sink>) {
+/// Resumes the stream if its target is the same; otherwise discards its tokens and
+/// sends the caller a restart.
+async fn prepare_stream(
+    call: &mut Call,
+    route: &Route,
+    partial: &mut Partial,
+    sink: Option<&Sink>,
+) {
     if partial.target != Some(route.key) {
         if partial.tokens > 0 {
             send(sink, Progress::Restart).await;
@@ -146,8 +152,8 @@
     }
 }
 
-/// A caller that has gone away does not stop the stage here; whoever owns the
-/// request decides that.
+/// Ignores a caller that has disconnected; the owner of the run decides whether to
+/// cancel it.
 async fn send(sink: Option<&Sink>, progress: Progress) {
     if let Some(sink) = sink {
         let _ = sink.send(progress).await;
--- a/crates/entry/src/headers.rs
+++ b/crates/entry/src/headers.rs
@@ -1,4 +1,4 @@
-//! Names of the headers between callers and entries, and their values.
+//! Headers between callers and entries, and between entries: names and parsing.
 
 use std::time::Duration;
 
@@ -9,29 +9,29 @@
 
 /// The caller's request id.
 pub const REQUEST: &str = "hollowsail-request-id";
-/// Relative deadline in milliseconds.
+/// Deadline in milliseconds from the time of receipt.
 pub const DEADLINE: &str = "hollowsail-deadline-ms";
-/// A ticket for a request that runs once.
+/// Ticket of a request that runs at most once.
 pub const TICKET: &str = "hollowsail-ticket";
-/// The caller's own id for a request that runs once.
+/// Idempotency key of a request that runs at most once, chosen by the caller.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// When the request with that id was first sent, in milliseconds since 1970.
+/// When the request with that key was first sent, in milliseconds since 1970.
 pub const IDEMPOTENCY_TIME: &str = "hollowsail-idempotency-time";
-/// Between entries: the receiver owns the claim on the id.
+/// Between entries: the receiver owns the claim on the idempotency key.
 pub const CLAIM_OWNER: &str = "hollowsail-claim-owner";
-/// Between entries: how often the request was passed on.
+/// Between entries: number of times the request was relayed.
 pub const HOPS: &str = "hollowsail-hops";
-/// Headers by which a request runs once.
+/// Headers of requests that run at most once.
 pub const ONCE: [&str; 3] = [TICKET, IDEMPOTENCY_KEY, IDEMPOTENCY_TIME];
-/// Longest id a caller may choose.
+/// Longest request id in characters.
 const MAX_ID: usize = 64;
 
-/// Text of a header, if it is readable.
+/// Value of a header; `None` if absent or not visible ASCII.
 pub fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// The caller's request id, or a new one when it sent none.
+/// The caller's request id, or a random one when it sent none.
 pub fn request_id(headers: &HeaderMap) -> Result<String, String> {
     let Some(id) = text(headers, REQUEST) else {
         return Ok(format!("{:016x}", rand::rng().random::<u64>()));
@@ -39,13 +39,14 @@
     let allowed = |c: char| c.is_ascii_alphanumeric() || "-_.:".contains(c);
     if id.is_empty() || id.len() > MAX_ID || !id.chars().all(allowed) {
         return Err(format!(
-            "{REQUEST} is not 1 to {MAX_ID} letters, digits, or one of -_.:"
+            "header {REQUEST} is malformed: expected 1 to {MAX_ID} characters out of \
+             letters, digits and -_.:"
         ));
     }
     Ok(id.to_string())
 }
 
-/// The deadline: named by the caller, or the pipeline's.
+/// The deadline from its header, or the pipeline's when the caller sent none.
 pub fn deadline(headers: &HeaderMap, longest_ms: u32) -> Result<Duration, (ErrorKind, String)> {
     let Some(value) = headers.get(DEADLINE) else {
         return Ok(Duration::from_millis(u64::from(longest_ms)));
@@ -57,24 +58,25 @@
         .filter(|ms| (1..=longest_ms).contains(ms))
         .map(|ms| Duration::from_millis(u64::from(ms)))
         .ok_or_else(|| {
-            let message = format!("{DEADLINE} is not a number from 1 to {longest_ms}");
+            let message = format!("header {DEADLINE} is not a number from 1 to {longest_ms}");
             (ErrorKind::DeadlineInvalid, message)
         })
 }
 
-/// True when the request carries a ticket or an id of its caller's own.
+/// True when the request has a ticket or an idempotency key.
 pub fn runs_once(headers: &HeaderMap) -> bool {
     headers.contains_key(TICKET) || headers.contains_key(IDEMPOTENCY_KEY)
 }
 
-/// How often a peer's request was passed on; at least once.
+/// Number of times a peer's request was relayed; the maximum if the header is
+/// missing or malformed.
 pub fn hops(headers: &HeaderMap) -> u8 {
     text(headers, HOPS)
         .and_then(|text| text.parse().ok())
         .unwrap_or(u8::MAX)
 }
 
-/// True when the caller wants server-sent events.
-pub fn wants_events(headers: &HeaderMap) -> bool {
+/// True when the caller accepts server-sent events.
+pub fn accepts_events(headers: &HeaderMap) -> bool {
     text(headers, ACCEPT.as_str()).is_some_and(|accept| accept.contains("text/event-stream"))
 }
--- a/crates/entry/src/holdings.rs
+++ b/crates/entry/src/holdings.rs
@@ -1,11 +1,11 @@
-//! How many requests each organisation has in flight at this entry.
+//! Requests in flight at this entry, counted by organisation.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
 
 use hollowsail_routing::Holding;
 
-/// Requests in flight at this entry, by organisation.
+/// Counts of requests in flight by organisation.
 #[derive(Debug, Default)]
 pub struct Holdings(Mutex<HashMap<String, Held>>);
 
@@ -15,12 +15,12 @@
     weight: u32,
 }
 
-/// One admitted request; its organisation holds it until this is dropped.
+/// An admitted request; counts as in flight until dropped.
 #[derive(Debug)]
 pub struct Admitted {
     holdings: Arc<Holdings>,
     org: String,
-    /// Its organisation held more than its share: it waits behind the others.
+    /// Its organisation exceeded its share when it was admitted: it queues behind others.
     pub over_share: bool,
 }
 
@@ -37,7 +37,7 @@
 }
 
 impl Holdings {
-    /// What an organisation holds beside all others.
+    /// Requests in flight of an organisation, compared with all others.
     pub fn of(&self, org: &str, weight: u32) -> Holding {
         let all = self.0.lock().expect("no panic while held");
         let others: u32 = all
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Counts one more request of an organisation.
-    pub fn take(self: &Arc<Self>, org: &str, weight: u32, over_share: bool) -> Admitted {
+    /// Counts a request of an organisation until the result is dropped.
+    pub fn admit(self: &Arc<Self>, org: &str, weight: u32, over_share: bool) -> Admitted {
         let mut all = self.0.lock().expect("no panic while held");
         let held = all
             .entry(org.to_string())
--- a/crates/entry/src/job.rs
+++ b/crates/entry/src/job.rs
@@ -1,5 +1,4 @@
-//! A request that was accepted, and the events that its caller sees while it
-//! runs.
+//! An accepted request, and the events that a streaming caller gets while it runs.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -10,12 +9,12 @@
 
 use crate::configuration::Configuration;
 
-/// One request, accepted and ready to run.
+/// An accepted request, ready to run.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// The caller's id, for answers and logs.
+    /// The caller's request id, for answers and logs.
     pub request: String,
-    /// Unique in the fleet, for dispatch ids.
+    /// Run id, unique in the fleet, for dispatch ids.
     pub run: String,
     pub org: String,
     pub configuration: Arc<Configuration>,
@@ -41,16 +40,16 @@
     }
 }
 
-/// What a streaming caller sees before the final answer.
+/// Event of a streaming caller before the final answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Progress {
     Token {
         offset: u32,
         text: String,
     },
-    /// Tokens so far belong to an attempt that was given up; start anew.
+    /// The tokens so far belong to an abandoned attempt; the text starts again.
     Restart,
 }
 
-/// Where a streaming caller's events go.
+/// Channel of a streaming caller's events.
 pub type Sink = mpsc::Sender<Progress>;
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,17 +1,16 @@
 //! The entry: the process between callers and targets.
 //!
-//! Requests come in at [`callers`] (or from another entry at [`peers`]), are
-//! judged from their headers by [`judge`], and run stage by stage: [`pipeline`]
-//! takes a [`job`] apart into a [`task`] for each stage, [`attempt`] tries it,
-//! [`routes`] finds a target and [`dispatch`] calls it. Those that must not be
-//! repeated pass through [`permit`] and the ledger in [`once`]. The [`control`]
-//! thread publishes a [`view::View`] that traffic reads. [`server::start`] puts
-//! it all together.
+//! Requests arrive at [`callers`] (relayed ones at [`peers`]) and are validated by
+//! [`validate`]. [`pipeline`] runs a [`job`] as one [`task`] per stage: [`attempt`]
+//! retries, [`routes`] chooses a target, [`dispatch`] calls it. Requests that run at
+//! most once pass through [`serve_once`] and the ledger in [`once_ledger`]. The
+//! [`control`] thread publishes the [`view::View`] that traffic threads read.
 
 pub mod admission;
 pub mod answer;
 pub mod apply;
 pub mod attempt;
+pub mod attempt_report;
 pub mod auth;
 pub mod body;
 pub mod callers;
@@ -20,28 +19,27 @@
 pub mod control;
 mod crashes;
 pub mod dispatch;
-pub mod fact;
 pub mod gate;
 pub mod headers;
 pub mod holdings;
 pub mod job;
-pub mod judge;
 pub mod metrics;
-pub mod once;
+pub mod once_ledger;
 pub mod open_record;
 pub mod operators;
+pub mod origin;
 pub mod peers;
-pub mod permit;
 pub mod pipeline;
 pub mod relay;
 pub mod routes;
-pub mod sender;
+pub mod serve_once;
 pub mod server;
 pub mod stop;
 pub mod streaming;
 pub mod task;
 pub mod tickets;
 pub mod tls;
+pub mod validate;
 pub mod view;
 pub mod worker;
 
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -1,5 +1,6 @@
-//! Metrics, by the `metrics` crate, exposed for Prometheus on the operators'
-//! listener. Labels name entries, services, pipelines and kinds; never payload.
+//! Metrics of an entry, exposed in the Prometheus format on the operators' listener.
+//!
+//! Labels are names of entries, services, pipelines and error kinds, never payload.
 
 use hollowsail_routing::{Outcome, StageStatus};
 use metrics::{counter, gauge, histogram};
@@ -8,7 +9,7 @@
 
 pub use hollowsail_observe::recorder::{install, render};
 
-/// A request was answered.
+/// Counts an answered request; `ms` is the time since it was accepted.
 pub fn count_request(
     entry: &str,
     pipeline: &str,
@@ -30,7 +31,7 @@
     .record(ms as f64 / 1000.0);
 }
 
-/// An attempt at a stage ended.
+/// Counts an attempt at a stage that took `ms`.
 pub fn count_attempt(entry: &str, service: &str, status: StageStatus, ms: u64) {
     let status = match status {
         StageStatus::Ran => "ran",
@@ -45,12 +46,12 @@
     .increment(ms);
 }
 
-/// The control thread was behind and a fact was dropped.
-pub fn count_dropped_fact(entry: &str) {
+/// Counts an attempt report that was dropped because the mailbox was full.
+pub fn count_dropped_report(entry: &str) {
     counter!("hollowsail_dropped_facts_total", "entry" => entry.to_string()).increment(1);
 }
 
-/// Figures that the control thread publishes at every tick.
+/// Sets the gauges of the control thread.
 pub fn set_control_gauges(entry: &str, revision: u64, members: usize, ledger: usize) {
     gauge!("hollowsail_revision", "entry" => entry.to_string()).set(revision as f64);
     gauge!("hollowsail_members", "entry" => entry.to_string()).set(members as f64);
--- a/crates/entry/src/once.rs
+++ b/crates/entry/src/once_ledger.rs
@@ -1,8 +1,9 @@
-//! Requests that run at most once: the ledger and whoever waits on it.
+//! Requests that run at most once: the ledger and the duplicates that wait for a
+//! run, and claims on idempotency keys in the store.
 //!
-//! [`OnceBook`] keeps the ledger and the waiters under one lock, so that a
-//! presentation either sees the record closed or is woken when it is. The lock
-//! is never held across an await.
+//! [`OnceLedger`] has the ledger and the waiters behind one lock, so that a duplicate
+//! either finds the record closed or is woken when it closes. The lock is never
+//! held across an await.
 
 use std::collections::HashMap;
 
@@ -17,28 +18,30 @@
 use crate::answer::{AnswerBody, Refusal};
 use crate::kinds::ErrorKind;
 
-/// A kept answer: the caller's JSON body.
-pub type KeptAnswer = Vec<u8>;
+/// A retained answer: the JSON body sent to the caller.
+pub type RetainedAnswer = Vec<u8>;
 
-/// Times a claim asks the store before it gives up.
+/// Most store calls of one claim.
 const MAX_CLAIM_STEPS: u32 = 4;
 
-/// Ledger and waiters.
-pub struct OnceBook {
+/// The ledger, the waiters and the claim rate limit.
+pub struct OnceLedger {
     ledger: Ledger,
-    waiters: HashMap<RecordId, Vec<oneshot::Sender<KeptAnswer>>>,
-    claims: ClaimRate,
+    waiters: HashMap<RecordId, Vec<oneshot::Sender<RetainedAnswer>>>,
+    claim_limiter: ClaimRateLimiter,
 }
 
-/// What a presentation leads to, with a way to wait.
+/// What to do with a request after its ticket or key was presented.
 pub enum Admission {
-    /// Run it; the guard closes the record whatever happens.
+    /// Run it and close its record; see [`OpenRecord`](crate::open_record::OpenRecord).
     Run,
-    Wait(oneshot::Receiver<KeptAnswer>),
+    /// An earlier send is running; wait for its answer.
+    Wait(oneshot::Receiver<RetainedAnswer>),
+    /// Answer with the ledger's result.
     Answered(Presented),
 }
 
-impl OnceBook {
+impl OnceLedger {
     pub fn new(incarnation: Incarnation, limits: &Limits) -> Self {
         let bounds = Bounds {
             records: limits.ledger_records,
@@ -46,37 +49,41 @@
             ticket_ms: limits.ticket_ms,
             claim_ms: limits.claim_ms,
         };
-        OnceBook {
+        OnceLedger {
             ledger: Ledger::new(incarnation, bounds),
             waiters: HashMap::new(),
-            claims: ClaimRate::new(limits.claims_per_second),
+            claim_limiter: ClaimRateLimiter::new(limits.claims_per_second),
         }
     }
 
-    /// Makes tickets for an organisation.
+    /// Issues tickets to an organisation.
     pub fn issue(&mut self, now: Millis, org: &str, count: usize) -> Vec<Ticket> {
         (0..count).map(|_| self.ledger.issue(now, org)).collect()
     }
 
-    pub fn answers_for(&self, issuer: Incarnation) -> bool {
+    pub fn is_responsible_for(&self, issuer: Incarnation) -> bool {
         self.ledger.answers_for(issuer)
     }
 
-    /// Presents a ticket.
-    pub fn present_ticket(&mut self, now: Millis, ticket: &Ticket, who: &Identity) -> Admission {
-        let presented = self.ledger.present_ticket(now, ticket, who);
-        self.admit(ticket_record(ticket), presented)
+    pub fn present_ticket(
+        &mut self,
+        now: Millis,
+        ticket: &Ticket,
+        identity: &Identity,
+    ) -> Admission {
+        let presented = self.ledger.present_ticket(now, ticket, identity);
+        self.admit(ticket_record_id(ticket), presented)
     }
 
-    /// Presents a caller's own id; see [`Ledger::present_claim`] for `fresh`.
+    /// Presents an idempotency key; see [`Ledger::present_claim`] for `fresh`.
     pub fn present_claim(
         &mut self,
         now: Millis,
         id: RecordId,
-        who: &Identity,
+        identity: &Identity,
         fresh: bool,
     ) -> Admission {
-        let presented = self.ledger.present_claim(now, id, who, fresh);
+        let presented = self.ledger.present_claim(now, id, identity, fresh);
         self.admit(id, presented)
     }
 
@@ -92,111 +99,118 @@
         }
     }
 
-    /// Closes a record and wakes whoever waits for it.
-    pub fn close(&mut self, id: RecordId, answer: KeptAnswer) {
+    /// Closes a record and wakes its waiters.
+    pub fn close(&mut self, id: RecordId, answer: RetainedAnswer) {
         self.wake(id, &answer);
         self.ledger.close(id, answer);
     }
 
-    /// The record of a caller's own id, if it was opened here.
+    /// The record of an idempotency key, if it was opened here.
     pub fn find_claim(&self, id_hash: &[u8; 32]) -> Option<RecordId> {
         self.ledger.find_claim(id_hash)
     }
 
-    fn wake(&mut self, id: RecordId, answer: &KeptAnswer) {
+    fn wake(&mut self, id: RecordId, answer: &RetainedAnswer) {
         for tx in self.waiters.remove(&id).unwrap_or_default() {
             let _ = tx.send(answer.clone());
         }
     }
 
-    /// True when one more claim may be written this second.
-    pub fn may_claim(&mut self, now: Millis) -> bool {
-        self.claims.take(now)
+    /// True when `claims_per_second` allows one more claim now; counts it.
+    pub fn try_take_claim(&mut self, now: Millis) -> bool {
+        self.claim_limiter.try_take(now)
     }
 
-    /// Forgets what has expired; returns claims whose keys may go.
-    pub fn housekeep(&mut self, now: Millis) -> Vec<[u8; 32]> {
+    /// Evicts expired records; returns the hashes of the expired claims.
+    pub fn evict_expired(&mut self, now: Millis) -> Vec<[u8; 32]> {
         self.ledger.housekeep(now)
     }
 
-    pub fn open_records(&self) -> usize {
+    pub fn open_record_count(&self) -> usize {
         self.ledger.open_records()
     }
 
-    pub fn records(&self) -> usize {
+    pub fn record_count(&self) -> usize {
         self.ledger.len()
     }
 
+    /// Refuses new records from now on.
     pub fn stop(&mut self) {
         self.ledger.stop();
     }
 
+    /// Returns the state for a successor, with the answers of the organisations for which
+    /// `may_hold` is true; `None` while a record is open.
     pub fn hand_over(&mut self, now: Millis, may_hold: impl Fn(&str) -> bool) -> Option<HandOver> {
         self.ledger.hand_over(now, may_hold)
     }
 
+    /// Takes over the ledger of a stopping entry; false when this entry is stopping too.
     pub fn adopt(&mut self, now: Millis, hand_over: HandOver) -> bool {
         self.ledger.adopt(now, hand_over)
     }
 }
 
-/// Record of a ticket.
-pub fn ticket_record(ticket: &Ticket) -> RecordId {
+pub fn ticket_record_id(ticket: &Ticket) -> RecordId {
     RecordId {
         issuer: ticket.issuer,
         slot: Slot::Ticket(ticket.number),
     }
 }
 
-/// The answer for a presentation that neither runs nor waits, except for kept
-/// answers, which are given again as they are.
+/// The refusal for a presentation that neither runs, waits nor has a retained answer.
 pub fn refusal(request: &str, presented: &Presented) -> Refusal {
     use ErrorKind::*;
     match presented {
         Presented::OtherRequest => AnswerBody::refusal(
             request,
             TicketReused,
-            "this ticket or id was used for another request",
+            "this ticket or idempotency key was used for another request",
         ),
         Presented::Expired => AnswerBody::unknown(
             request,
             TicketExpired,
-            "the ticket or id is too old, and an earlier send may have run",
+            "the ticket or idempotency key has expired, and an earlier send may have run",
+        ),
+        Presented::AnswerDropped => AnswerBody::unknown(
+            request,
+            AnswerDropped,
+            "the request ended, but its answer is no longer retained",
         ),
-        Presented::AnswerDropped => {
-            AnswerBody::unknown(request, AnswerDropped, "it ended, and its answer is gone")
+        Presented::Full => {
+            AnswerBody::refusal(request, LedgerFull, "the ledger of this entry is full")
         }
-        Presented::Full => AnswerBody::refusal(request, LedgerFull, "the ledger is full"),
         Presented::Stopped => AnswerBody::refusal(request, Stopping, "this entry is stopping"),
         Presented::Refused => AnswerBody::refusal(
             request,
             TicketRefused,
-            "it was refused before, and stays so",
+            "an earlier send of this request was refused, and the refusal is final",
         ),
         Presented::HandedOver => AnswerBody::unknown(
             request,
             Stopping,
-            "this entry's ledger went to another entry, which alone can say",
+            "this entry has handed its ledger over to another entry",
         ),
         Presented::Unsure => AnswerBody::unknown(
             request,
             LedgerFull,
-            "the ledger is full, and another send of it may still run",
+            "the ledger of this entry is full, and another send of the request may still run",
         ),
         _ => AnswerBody::unknown(
             request,
             IssuerGone,
-            "nobody answers for this ticket any more",
+            "no entry is responsible for this ticket any more",
         ),
     }
 }
 
-/// Key under which a caller's id is claimed.
+/// Store key of the claim on an idempotency key.
 pub fn claim_key(id_hash: &[u8; 32]) -> String {
     format!("claim/{}", hex::encode(id_hash))
 }
 
-/// Claims an id in the store; `None` when the store cannot tell.
+/// Claims an idempotency key in the store; `None` when the result is still unknown
+/// after `MAX_CLAIM_STEPS` calls.
 pub async fn claim(
     store: &StoreClient,
     id_hash: &[u8; 32],
@@ -221,57 +235,57 @@
     let bytes = rmp_serde::to_vec(value).expect("a claim always serializes");
     match store.put(key, bytes, Expect::Absent, None).await {
         Ok(StoreReply::Written { .. }) => StoreAnswer::Created,
-        Ok(StoreReply::Conflict { value, .. }) => found(&value),
+        Ok(StoreReply::Conflict { value, .. }) => decode_claim(&value),
         Ok(_) => StoreAnswer::Lost,
-        Err(err) => unanswered(&err),
+        Err(err) => store_failure(&err),
     }
 }
 
 async fn read(store: &StoreClient, key: &str) -> StoreAnswer {
     match store.get(key).await {
-        Ok(Some((_, value))) => found(&value),
+        Ok(Some((_, value))) => decode_claim(&value),
         Ok(None) => StoreAnswer::Absent,
-        Err(err) => unanswered(&err),
+        Err(err) => store_failure(&err),
     }
 }
 
-fn found(bytes: &[u8]) -> StoreAnswer {
+fn decode_claim(bytes: &[u8]) -> StoreAnswer {
     match rmp_serde::from_slice(bytes) {
         Ok(value) => StoreAnswer::Found(value),
         Err(_) => StoreAnswer::NotDone,
     }
 }
 
-fn unanswered(err: &StoreError) -> StoreAnswer {
+fn store_failure(err: &StoreError) -> StoreAnswer {
     match err {
         StoreError::Unclear { .. } => StoreAnswer::Lost,
         StoreError::NotSent { .. } | StoreError::Limited => StoreAnswer::NotDone,
     }
 }
 
-/// At most so many claims in any second of this process's clock.
-struct ClaimRate {
+/// Allows at most `per_second` claims in each second of the entry's clock.
+struct ClaimRateLimiter {
     per_second: u32,
     second: u64,
-    taken: u32,
+    count: u32,
 }
 
-impl ClaimRate {
+impl ClaimRateLimiter {
     fn new(per_second: u32) -> Self {
-        ClaimRate {
+        ClaimRateLimiter {
             per_second,
             second: 0,
-            taken: 0,
+            count: 0,
         }
     }
 
-    fn take(&mut self, now: Millis) -> bool {
+    fn try_take(&mut self, now: Millis) -> bool {
         let second = now / 1000;
         if second != self.second {
             self.second = second;
-            self.taken = 0;
+            self.count = 0;
         }
-        self.taken += 1;
-        self.taken <= self.per_second
+        self.count += 1;
+        self.count <= self.per_second
     }
 }
--- a/crates/entry/src/open_record.rs
+++ b/crates/entry/src/open_record.rs
@@ -1,4 +1,4 @@
-//! The record of a run that must end in the ledger, whatever becomes of the run.
+//! The open ledger record of a run that executes at most once.
 
 use std::sync::Arc;
 
@@ -7,10 +7,10 @@
 use crate::answer::AnswerBody;
 use crate::context::Entry;
 use crate::kinds::ErrorKind;
-use crate::once::KeptAnswer;
+use crate::once_ledger::RetainedAnswer;
 
-/// Closes its record as unknown when the run ends without an answer, as in a
-/// panic: an open record would make its ticket wait for ever.
+/// Closes its record as unknown when dropped without an answer, as in a panic: an
+/// open record would make other sends of the request wait until their deadlines.
 pub struct OpenRecord {
     entry: Arc<Entry>,
     id: RecordId,
@@ -28,12 +28,12 @@
         }
     }
 
-    /// Closes the record with its answer.
-    pub fn close(mut self, answer: KeptAnswer) {
+    /// Closes the record with the answer of the run.
+    pub fn close(mut self, answer: RetainedAnswer) {
         self.finish(answer);
     }
 
-    fn finish(&mut self, answer: KeptAnswer) {
+    fn finish(&mut self, answer: RetainedAnswer) {
         self.closed = true;
         let mut once = self.entry.once.lock().expect("no panic while held");
         once.close(self.id, answer);
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -1,4 +1,6 @@
-//! The operators' interface: apply, status, drain, stop, metrics.
+//! HTTP interface for operators: apply, status, drain and metrics.
+//!
+//! All but metrics require the operators' bearer key.
 
 use actix_web::{web, HttpRequest, HttpResponse};
 use serde::{Deserialize, Serialize};
@@ -9,14 +11,14 @@
 use crate::metrics;
 use crate::worker::Worker;
 
-/// Largest set of files in bytes.
+/// Largest body of an apply request, in bytes.
 pub const MAX_APPLY_BYTES: usize = 16 * 1024 * 1024;
 
 /// Body of a drain request.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DrainRequest {
-    /// Name of a target.
+    /// Name of the target to drain.
     pub host: String,
 }
 
@@ -29,11 +31,11 @@
         .route("/metrics", web::get().to(scrape));
 }
 
-fn known(worker: &Worker, req: &HttpRequest) -> bool {
+fn is_authorized(worker: &Worker, req: &HttpRequest) -> bool {
     is_operator(req.headers(), &worker.entry.settings.operator_key)
 }
 
-fn stranger() -> HttpResponse {
+fn unauthorized() -> HttpResponse {
     HttpResponse::Unauthorized().body("send the operators' key as a bearer token\n")
 }
 
@@ -42,16 +44,16 @@
     req: HttpRequest,
     body: web::Json<ApplyRequest>,
 ) -> HttpResponse {
-    if !known(&worker, &req) {
-        return stranger();
+    if !is_authorized(&worker, &req) {
+        return unauthorized();
     }
     let result = apply::apply(&worker, body.into_inner()).await;
     HttpResponse::build(result.status()).json(result)
 }
 
 async fn status(worker: web::Data<Worker>, req: HttpRequest) -> HttpResponse {
-    if !known(&worker, &req) {
-        return stranger();
+    if !is_authorized(&worker, &req) {
+        return unauthorized();
     }
     match worker.control.send(Status).await {
         Ok(reply) => HttpResponse::Ok().json(reply.0),
@@ -64,8 +66,8 @@
     req: HttpRequest,
     body: web::Json<DrainRequest>,
 ) -> HttpResponse {
-    if !known(&worker, &req) {
-        return stranger();
+    if !is_authorized(&worker, &req) {
+        return unauthorized();
     }
     let name = body.into_inner().host;
     let exists = worker
@@ -73,7 +75,7 @@
         .configuration()
         .is_some_and(|c| c.deployment.targets.iter().any(|t| t.name == name));
     if !exists {
-        let message = format!("there is no target {name}; see `hollowsail status`\n");
+        let message = format!("unknown target {name}; see `hollowsail status`\n");
         return HttpResponse::NotFound().body(message);
     }
     match worker.control.send(Drain(name)).await {
@@ -82,7 +84,7 @@
     }
 }
 
-/// Open to scrapers: metrics hold names and counts only.
+/// Needs no key: metrics contain names and counts only.
 async fn scrape() -> HttpResponse {
     HttpResponse::Ok()
         .content_type("text/plain; version=0.0.4")
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -1,5 +1,5 @@
-//! The peers' interface: exchanges, configurations, relayed requests, and
-//! ledgers of entries that stop.
+//! HTTP interface for peers: gossip exchanges, configurations, relayed requests, and
+//! the ledgers of stopping entries.
 
 use actix_web::{web, HttpRequest, HttpResponse};
 use hollowsail_config::chunk::ChunkHash;
@@ -11,15 +11,15 @@
 
 use crate::auth::is_peer;
 use crate::callers;
-use crate::control::spread::{ChunkReply, ChunkRequest};
-use crate::control::Incoming;
+use crate::control::config_sync::{ChunkReply, ChunkRequest};
+use crate::control::ReceivedExchange;
 use crate::events;
 use crate::headers;
-use crate::sender::Sender;
+use crate::origin::Origin;
 use crate::tickets::{self, TicketQuery};
 use crate::worker::Worker;
 
-/// Largest ledger or chunk request in bytes.
+/// Largest body of a request from a peer, in bytes.
 pub const MAX_PEER_BODY: usize = 64 * 1024 * 1024;
 
 /// Routes of the peers' listener.
@@ -31,25 +31,25 @@
         .route("/peer/v1/tickets", web::post().to(relayed_tickets));
 }
 
-fn known(worker: &Worker, req: &HttpRequest) -> bool {
+fn is_authorized(worker: &Worker, req: &HttpRequest) -> bool {
     is_peer(req.headers(), &worker.entry.settings.fleet_key)
 }
 
-fn stranger() -> HttpResponse {
-    HttpResponse::Unauthorized().body("not a peer of this fleet; check the fleet key\n")
+fn unauthorized() -> HttpResponse {
+    HttpResponse::Unauthorized().body("missing or wrong peer token; check the fleet key\n")
 }
 
-/// A peer's message, or the answer to whoever did not send one.
-fn receive<T: DeserializeOwned>(
+/// Decodes a peer's message; the error is the response to send.
+fn decode<T: DeserializeOwned>(
     worker: &Worker,
     req: &HttpRequest,
     body: &[u8],
 ) -> Result<T, Box<HttpResponse>> {
-    if !known(worker, req) {
-        return Err(Box::new(stranger()));
+    if !is_authorized(worker, req) {
+        return Err(Box::new(unauthorized()));
     }
     rmp_serde::from_slice(body).map_err(|err| {
-        let message = format!("unreadable message: {err}; run the same version\n");
+        let message = format!("malformed message: {err}; peers have to run the same version\n");
         Box::new(HttpResponse::BadRequest().body(message))
     })
 }
@@ -62,11 +62,11 @@
 }
 
 async fn exchange(worker: web::Data<Worker>, req: HttpRequest, body: web::Bytes) -> HttpResponse {
-    let message: Exchange = match receive(&worker, &req, &body) {
+    let message: Exchange = match decode(&worker, &req, &body) {
         Ok(message) => message,
         Err(answer) => return *answer,
     };
-    match worker.control.send(Incoming(message)).await {
+    match worker.control.send(ReceivedExchange(message)).await {
         Ok(answer) => reply(&answer.0),
         Err(_) => HttpResponse::ServiceUnavailable().finish(),
     }
@@ -77,7 +77,7 @@
     req: HttpRequest,
     body: web::Bytes,
 ) -> HttpResponse {
-    let request: ChunkRequest = match receive(&worker, &req, &body) {
+    let request: ChunkRequest = match decode(&worker, &req, &body) {
         Ok(message) => message,
         Err(answer) => return *answer,
     };
@@ -107,7 +107,7 @@
     req: HttpRequest,
     body: web::Bytes,
 ) -> HttpResponse {
-    let hand_over: HandOver = match receive(&worker, &req, &body) {
+    let hand_over: HandOver = match decode(&worker, &req, &body) {
         Ok(message) => message,
         Err(answer) => return *answer,
     };
@@ -118,7 +118,8 @@
         once.adopt(worker.entry.now(), hand_over)
     };
     if !adopted {
-        return HttpResponse::Conflict().body("stopping too; choose another successor\n");
+        return HttpResponse::Conflict()
+            .body("this entry is stopping too; choose another successor\n");
     }
     worker.entry.log(
         events::ADOPTED_LEDGER,
@@ -127,8 +128,8 @@
     HttpResponse::Ok().finish()
 }
 
-fn from_peer(req: &HttpRequest) -> Sender {
-    Sender {
+fn peer_origin(req: &HttpRequest) -> Origin {
+    Origin {
         hops: headers::hops(req.headers()),
     }
 }
@@ -139,10 +140,10 @@
     name: web::Path<String>,
     body: web::Payload,
 ) -> HttpResponse {
-    if !known(&worker, &req) {
-        return stranger();
+    if !is_authorized(&worker, &req) {
+        return unauthorized();
     }
-    callers::serve(&worker, &req, &name, body, from_peer(&req)).await
+    callers::serve(&worker, &req, &name, body, peer_origin(&req)).await
 }
 
 async fn relayed_tickets(
@@ -151,8 +152,8 @@
     query: web::Query<TicketQuery>,
     body: web::Payload,
 ) -> HttpResponse {
-    if !known(&worker, &req) {
-        return stranger();
+    if !is_authorized(&worker, &req) {
+        return unauthorized();
     }
-    tickets::tickets(&worker, &req, &query, body, from_peer(&req)).await
+    tickets::issue(&worker, &req, &query, body, peer_origin(&req)).await
 }
--- a/crates/entry/src/pipeline.rs
+++ b/crates/entry/src/pipeline.rs
@@ -1,8 +1,8 @@
-//! Runs one request through its pipeline.
+//! Runs one request through the stages of its pipeline.
 //!
-//! Stage by stage: plan the time, run attempts until one answers or none may
-//! follow, feed the output to the next stage. What each attempt proved is
-//! folded into the stage's status by `hollowsail-routing`'s table.
+//! Each stage gets a time plan and runs attempts until one answers or no more are
+//! allowed; its output is the input of the next stage. The attempts' progress
+//! determines the stage's status ([`stage_status`]).
 
 use std::time::Instant;
 
@@ -21,7 +21,7 @@
 use crate::task::{Failure, StageTask};
 use crate::worker::Worker;
 
-/// Judges the request, then runs every stage; always ends in an answer.
+/// Admits the request and runs its stages; a refusal or failure is an answer too.
 pub async fn run(worker: &Worker, job: &Job, sink: Option<&Sink>) -> AnswerBody {
     let deployment = &job.configuration.deployment;
     let admitted = deployment
@@ -29,11 +29,11 @@
         .ok_or_else(|| {
             (
                 ErrorKind::NotAllowed,
-                "the organisation is gone".to_string(),
+                format!("organisation {} is no longer configured", job.org),
             )
         })
         .and_then(|org| {
-            worker.entry.crashes.judge(worker.entry.now(), job)?;
+            worker.entry.crashes.check(worker.entry.now(), job)?;
             admission::judge(worker, deployment, org, job.pipeline, job.remaining_ms())
         });
     match admitted {
@@ -51,13 +51,13 @@
     let mut reports = Vec::new();
     let mut input = job.input.clone();
     let mut failure = None;
-    for (at, stage) in job.pipeline().stages.iter().enumerate() {
-        let begun = Instant::now();
-        let last = at + 1 == job.pipeline().stages.len();
-        let sink = sink.filter(|_| last);
-        let stage_at = StageAt { at, stage };
-        let (run, result) = run_stage(worker, job, admitted, stage_at, input, sink).await;
-        reports.push(report(stage, &run, begun));
+    for (index, stage) in job.pipeline().stages.iter().enumerate() {
+        let started = Instant::now();
+        let is_last = index + 1 == job.pipeline().stages.len();
+        let sink = sink.filter(|_| is_last);
+        let indexed = IndexedStage { index, stage };
+        let (run, result) = run_stage(worker, job, admitted, indexed, input, sink).await;
+        reports.push(stage_report(stage, &run, started));
         match result {
             Ok(output) => input = output,
             Err(err) => {
@@ -68,7 +68,7 @@
         }
     }
     if failure.is_none() {
-        worker.entry.crashes.served(job);
+        worker.entry.crashes.record_success(job);
     }
     let result = match failure {
         None => Ok(input),
@@ -77,18 +77,18 @@
     finish(worker, job, reports, result)
 }
 
-fn report(stage: &Stage, run: &StageRun, begun: Instant) -> StageReport {
+fn stage_report(stage: &Stage, run: &StageRun, started: Instant) -> StageReport {
     StageReport {
         stage: stage.name.clone(),
         status: stage_status(run.attempts.iter().copied()),
         attempts: run.attempts.len() as u32,
-        ms: begun.elapsed().as_millis() as u64,
+        ms: started.elapsed().as_millis() as u64,
     }
 }
 
-/// A stage and its position in the pipeline.
-struct StageAt<'a> {
-    at: usize,
+/// A stage and its index in the pipeline.
+struct IndexedStage<'a> {
+    index: usize,
     stage: &'a Stage,
 }
 
@@ -96,30 +96,30 @@
     worker: &Worker,
     job: &Job,
     admitted: &Admitted,
-    StageAt { at, stage }: StageAt<'_>,
+    IndexedStage { index, stage }: IndexedStage<'_>,
     input: Value,
     sink: Option<&Sink>,
 ) -> (StageRun, Result<Value, Failure>) {
     let view = worker.entry.view();
-    let expected = view.expectations(job.pipeline, at);
-    let plan = deadline::plan(job.remaining_ms(), expected).or_else(|late| {
+    let expected = view.expectations(job.pipeline, index);
+    let plan = deadline::plan(job.remaining_ms(), expected).or_else(|shortfall| {
         match worker.entry.switches.early_refusal || job.remaining_ms() == 0 {
-            true => Err(late),
+            true => Err(shortfall),
             false => Ok(StagePlan::all_of(job.remaining_ms())),
         }
     });
     let plan = match plan {
         Ok(plan) => plan,
-        Err(late) => {
+        Err(shortfall) => {
             let kind = match job.remaining_ms() {
                 0 => ErrorKind::DeadlineExceeded,
                 _ => ErrorKind::CannotFinish,
             };
             let message = format!(
-                "{} ms are left before stage {} and {} ms are needed",
+                "the deadline is in {} ms, but the pipeline from stage {} on needs {} ms",
                 job.remaining_ms(),
                 stage.name,
-                late.needed_ms
+                shortfall.needed_ms
             );
             return (StageRun::default(), Err((kind, message)));
         }
@@ -127,7 +127,7 @@
     let task = StageTask {
         worker,
         job,
-        at,
+        at: index,
         stage,
         plan,
         over_share: admitted.over_share,
@@ -136,7 +136,7 @@
     attempt::run_attempts(&task, input).await
 }
 
-/// Adds the stages that were never reached and closes the answer.
+/// Builds and records the answer, with stages that weren't reached as not run.
 fn finish(
     worker: &Worker,
     job: &Job,
@@ -155,11 +155,11 @@
     let safe = result.is_err() && safe_to_repeat(stages, &reports);
     let mut answer = AnswerBody::ended(&job.request, reports, safe, result);
     answer.revision = job.configuration.revision();
-    record(worker, job, &answer);
+    record_answer(worker, job, &answer);
     answer
 }
 
-/// True when no stage that must not be repeated ran or may have run.
+/// True when no stage that must not be repeated has run or may have run.
 fn safe_to_repeat(stages: &[Stage], reports: &[StageReport]) -> bool {
     stages
         .iter()
@@ -167,7 +167,7 @@
         .all(|(stage, report)| stage.repeatable || report.status == StageStatus::NotRun)
 }
 
-fn record(worker: &Worker, job: &Job, answer: &AnswerBody) {
+fn record_answer(worker: &Worker, job: &Job, answer: &AnswerBody) {
     let ms = job.accepted.elapsed().as_millis() as u64;
     let pipeline = &job.pipeline().name;
     let name = &worker.entry.settings.name;
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -1,9 +1,9 @@
-//! Passing a request on, unread, to the entry that may or must serve it.
+//! Relays requests to other entries.
 //!
-//! Two reasons: the caller's organisation may not be served in this hall, or
-//! the ticket was issued elsewhere. The decision is made from headers alone;
-//! body and answer stream through without being looked at. A request is passed on
-//! a bounded number of times, so views that differ cannot make a loop.
+//! A request is relayed when its organisation may not be served in this hall, or
+//! when another entry is responsible for its ticket or idempotency key. The decision
+//! is made from the headers; body and answer are streamed through. The number of
+//! hops is bounded, so that differing views can't cause a loop.
 
 use std::time::Duration;
 
@@ -23,41 +23,41 @@
 use crate::body::SharedBody;
 use crate::events;
 use crate::headers;
-use crate::judge::Judged;
 use crate::kinds::ErrorKind;
-use crate::sender::Sender;
+use crate::origin::Origin;
+use crate::validate::ValidatedRequest;
 use crate::view::InFlight;
 use crate::worker::Worker;
 
-/// Headers of a caller that go on with a relayed request.
-const PASSED_ON: [HeaderName; 4] = [ACCEPT, AUTHORIZATION, CONTENT_LENGTH, CONTENT_TYPE];
-/// Headers of an answer that go back.
-const PASSED_BACK: [HeaderName; 3] = [CONTENT_TYPE, CONTENT_LENGTH, RETRY_AFTER];
+/// Headers copied from the caller's request.
+const REQUEST_HEADERS: [HeaderName; 4] = [ACCEPT, AUTHORIZATION, CONTENT_LENGTH, CONTENT_TYPE];
+/// Headers copied from the peer's response.
+const RESPONSE_HEADERS: [HeaderName; 3] = [CONTENT_TYPE, CONTENT_LENGTH, RETRY_AFTER];
 
-/// Why a relay gave no answer.
+/// Failure of a relay without a response.
 #[derive(Debug)]
 pub enum RelayError {
-    /// Nothing was handed to a socket: another entry may be tried.
+    /// Nothing was sent: another entry may be tried.
     NotSent,
-    /// The other entry may be running the request.
+    /// Sent without a response: the other entry may be running the request.
     Broken(String),
 }
 
-/// What is passed on besides the caller's own headers.
+/// A request to relay, with the values of the headers between entries.
 pub struct Relay<'a> {
     pub path: &'a str,
     pub request: &'a str,
     pub headers: &'a HeaderMap,
     pub body: SharedBody,
-    /// Time left for the whole request.
+    /// Time left until the request's deadline.
     pub remaining: Duration,
-    /// Times the request will have been passed on.
+    /// Number of hops including this one.
     pub hops: u8,
-    /// True when the other entry owns the claim on the caller's id.
+    /// True when the other entry owns the claim on the idempotency key.
     pub claim_owner: bool,
 }
 
-/// Passes a request on to one peer.
+/// Sends a request to a peer and streams its response back.
 pub async fn relay(
     worker: &Worker,
     peer: &Member,
@@ -67,11 +67,11 @@
         events::RELAYED,
         format_args!("request={} to={}", relay.request, peer.name),
     );
-    match request_to(worker, peer, relay)
+    match build_request(worker, peer, relay)
         .send_stream(relay.body.clone())
         .await
     {
-        Ok(res) => Ok(pass_back(worker, res)),
+        Ok(res) => Ok(stream_response(worker, res)),
         Err(err) if nothing_sent(&err) => {
             worker.entry.log(
                 events::RELAY_FAILED,
@@ -86,8 +86,8 @@
     }
 }
 
-/// The head of the request to the peer.
-fn request_to(worker: &Worker, peer: &Member, relay: &Relay<'_>) -> ClientRequest {
+/// Builds the request to the peer, without its body.
+fn build_request(worker: &Worker, peer: &Member, relay: &Relay<'_>) -> ClientRequest {
     let mut req = worker
         .single_use
         .post(format!("http://{}{}", peer.peer, relay.path))
@@ -96,7 +96,7 @@
         .insert_header((headers::HOPS, relay.hops.to_string()))
         .insert_header((headers::REQUEST, relay.request))
         .insert_header((headers::DEADLINE, relay.remaining.as_millis().to_string()));
-    for name in PASSED_ON {
+    for name in REQUEST_HEADERS {
         if let Some(value) = relay.headers.get(&name) {
             req = req.insert_header((name, value.clone()));
         }
@@ -112,49 +112,48 @@
     req
 }
 
-/// Passes the peer's answer back as it comes.
-fn pass_back<S>(worker: &Worker, res: ClientResponse<S>) -> HttpResponse
+fn stream_response<S>(worker: &Worker, res: ClientResponse<S>) -> HttpResponse
 where
     S: Stream<Item = Result<Bytes, PayloadError>> + Unpin + 'static,
 {
-    let mut back = HttpResponseBuilder::new(res.status());
-    for name in PASSED_BACK {
+    let mut builder = HttpResponseBuilder::new(res.status());
+    for name in RESPONSE_HEADERS {
         if let Some(value) = res.headers().get(&name) {
-            back.insert_header((name, value.clone()));
+            builder.insert_header((name, value.clone()));
         }
     }
-    // A planned stop waits until the answer has passed through.
+    // A planned stop waits until the whole response has been streamed.
     let in_flight = InFlight::new(&worker.entry.in_flight);
-    back.streaming(res.map(move |piece| {
-        let _held = &in_flight;
-        piece
+    builder.streaming(res.map(move |chunk| {
+        let _in_flight = &in_flight;
+        chunk
     }))
 }
 
-/// The other entry may be running the request: nothing is known of it.
-pub fn relay_broken(request: &str, reason: &str) -> HttpResponse {
-    let message = format!("the entry that has the request did not answer: {reason}");
+/// Response when the other entry may be running the request.
+pub fn interrupted_relay(request: &str, reason: &str) -> HttpResponse {
+    let message = format!("the entry that serves the request did not answer: {reason}");
     AnswerBody::unknown(request, ErrorKind::RelayFailed, message).into_response()
 }
 
-/// Passes a request on under the peers' path.
-pub async fn pass_on(
+/// Relays a validated request to a peer, under the peers' path.
+pub async fn relay_to(
     worker: &Worker,
     req: &HttpRequest,
-    judged: &Judged,
+    validated: &ValidatedRequest,
     body: SharedBody,
     member: &Member,
-    sender: Sender,
+    origin: Origin,
     claim_owner: bool,
 ) -> Result<HttpResponse, RelayError> {
     let path = format!("/peer{}", req.path().trim_start_matches("/peer"));
     let relay = Relay {
         path: &path,
-        request: &judged.request,
+        request: &validated.request,
         headers: req.headers(),
         body,
-        remaining: judged.remaining(),
-        hops: sender.hops + 1,
+        remaining: validated.remaining(),
+        hops: origin.hops + 1,
         claim_owner,
     };
     self::relay(worker, member, &relay).await
--- a/crates/entry/src/routes.rs
+++ b/crates/entry/src/routes.rs
@@ -1,10 +1,10 @@
-//! Finding the target of an attempt, and waiting until it has a free slot.
+//! Chooses the target of an attempt and waits until it has a free slot.
 //!
-//! Targets are chosen anew from the newest snapshot for every attempt, by the
-//! names of organisation and service, so a configuration that took a hall away
-//! while the request was under way is obeyed at the next dispatch. A target
-//! gets no more requests than it serves at a time; when all are full the
-//! request waits at this entry's [`Gate`], most urgent first.
+//! Every attempt chooses from the newest view, by the names of the organisation
+//! and the service, so that a configuration that removes a hall takes effect at the
+//! next dispatch. A target gets no more requests at a time than the service's
+//! concurrency; when all are full the request waits at the service's [`Gate`], most
+//! urgent first.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,14 +21,14 @@
 use crate::task::{Failure, StageTask};
 use crate::view::{InFlight, View};
 
-/// A target that was chosen for an attempt; it holds a slot until dropped.
+/// The target chosen for an attempt; occupies a slot of it until dropped.
 pub struct Route {
     pub key: TargetKey,
     pub name: String,
     pub address: SocketAddr,
     /// Revision that `key` belongs to.
     pub revision: u64,
-    /// Other targets that could take over.
+    /// Number of other candidates.
     pub others: usize,
     in_flight: Option<InFlight>,
     gate: Arc<Gate>,
@@ -36,24 +36,23 @@
 
 impl Drop for Route {
     fn drop(&mut self) {
-        // The slot is free before anybody is told so.
+        // Frees the slot before the waiter is woken.
         self.in_flight = None;
         self.gate.wake_one();
     }
 }
 
-/// How a search ended.
+/// Result of [`find`].
 pub enum Found {
     Route(Route),
     /// No target may serve this stage.
     Nobody,
-    /// No slot was free while there was time.
+    /// No slot became free in time.
     NoTime,
 }
 
-/// Finds a target; waits for a slot no longer than the request can.
-///
-/// `resume` is a target that holds the first part of a broken stream.
+/// Finds a target, and waits for a free slot as long as a typical request could
+/// still finish within `left`. `resume` is the target of an interrupted stream.
 pub async fn find(
     task: &StageTask<'_>,
     attempt: usize,
@@ -68,8 +67,8 @@
         let Some(search) = Search::new(&view, task, tried) else {
             return Found::Nobody;
         };
-        let may_look = woken || !search.gate.has_ahead_of(&rank);
-        if let Some(choice) = may_look.then(|| search.choose(task, resume)).flatten() {
+        let may_choose = woken || !search.gate.has_ahead_of(&rank);
+        if let Some(choice) = may_choose.then(|| search.choose(task, resume)).flatten() {
             log_route(task, attempt, &search, choice);
             search.gate.wake_one();
             return Found::Route(search.into_route(choice));
@@ -86,19 +85,24 @@
     }
 }
 
-/// The moment by which this stage has to start, for a typical request.
+/// Position of the request at the gate, by the latest time at which a typical
+/// request has to start the stage.
 fn rank_of(task: &StageTask<'_>, left: Duration) -> Rank {
     let entry = &task.worker.entry;
     let view = entry.view();
-    let typical = view
+    let typical_ms = view
         .expectations(task.job.pipeline, task.at)
         .first()
         .map_or(0, |expected| expected.typical_ms);
-    let latest = (left.as_millis() as u64).saturating_sub(typical);
-    entry.new_rank(task.over_share, task.job.pipeline().priority, latest)
+    let latest_start_ms = (left.as_millis() as u64).saturating_sub(typical_ms);
+    entry.new_rank(
+        task.over_share,
+        task.job.pipeline().priority,
+        latest_start_ms,
+    )
 }
 
-/// Candidates of one stage in one view.
+/// The candidates for a stage in one view.
 struct Search<'a> {
     view: &'a View,
     deployment: &'a Deployment,
@@ -108,7 +112,7 @@
 }
 
 impl<'a> Search<'a> {
-    /// `None` when no target may serve the stage.
+    /// Returns `None` when no target may serve the stage.
     fn new(view: &'a View, task: &StageTask<'_>, tried: &[TargetKey]) -> Option<Self> {
         let deployment = view.deployment()?;
         let org = deployment.find_organisation(&task.job.org)?;
@@ -127,8 +131,8 @@
                 let name = &deployment.target(key).name;
                 Candidate {
                     target: key,
-                    load: view.held_by(key),
-                    reported: state.reported,
+                    load: view.estimated_load(key),
+                    reported: state.reported_load,
                     slowness: state.slowness,
                     ejected: state.ejected && switches.ejection,
                     affinity: prefix
@@ -147,10 +151,10 @@
         (!search.candidates.is_empty()).then_some(search)
     }
 
-    /// A candidate with a free slot, in the way that is switched on.
+    /// Chooses a candidate with a free slot, by the policy of the switches.
     fn choose(&self, task: &StageTask<'_>, resume: Option<TargetKey>) -> Option<Choice> {
         let entry = &task.worker.entry;
-        self.resumed(resume).or_else(|| {
+        self.resume_choice(resume).or_else(|| {
             let free: Vec<Candidate> = match entry.switches.target_limits {
                 true => self.with_free_slot(),
                 false => self.candidates.clone(),
@@ -160,8 +164,8 @@
         })
     }
 
-    /// Ejected targets count as free only when all are ejected: otherwise
-    /// requests would run to them whenever the healthy ones are full.
+    /// Candidates with a free slot. Ejected targets are included only when all are
+    /// ejected, or they would get the requests that the healthy ones have no slot for.
     fn with_free_slot(&self) -> Vec<Candidate> {
         let slots = f64::from(self.service.concurrency);
         let all_ejected = self.candidates.iter().all(|c| c.ejected);
@@ -173,8 +177,8 @@
             .collect()
     }
 
-    /// A broken stream goes on where it broke, if that target may still be used.
-    fn resumed(&self, resume: Option<TargetKey>) -> Option<Choice> {
+    /// The target of an interrupted stream, if it is still a candidate and not ejected.
+    fn resume_choice(&self, resume: Option<TargetKey>) -> Option<Choice> {
         let target = resume?;
         self.candidates
             .iter()
@@ -199,7 +203,7 @@
     }
 }
 
-/// What an engine may hold in its cache for this request.
+/// Identifies the prefix that an engine may have cached for this request's session.
 fn prefix_of(task: &StageTask<'_>, service: &Service) -> Option<String> {
     task.job
         .session
@@ -225,21 +229,21 @@
     );
 }
 
-/// The failure of a stage that no target may serve.
-pub fn nobody(task: &StageTask<'_>, attempt: usize) -> Failure {
-    log_no_route(task, attempt, "no target may serve it");
+/// Failure of a stage that no target may serve.
+pub fn no_target(task: &StageTask<'_>, attempt: usize) -> Failure {
+    log_no_route(task, attempt, "no permitted target takes work");
     let message = format!(
-        "no target in a hall permitted to {} may serve stage {} now",
+        "no target in a hall permitted to {} takes work for stage {}",
         task.job.org, task.stage.name
     );
     (ErrorKind::NoTarget, message)
 }
 
-/// The failure of a stage that got no slot in time.
-pub fn no_time(task: &StageTask<'_>) -> Failure {
-    log_no_route(task, 0, "no slot in time");
+/// Failure of a stage that got no slot in time.
+pub fn no_slot_in_time(task: &StageTask<'_>) -> Failure {
+    log_no_route(task, 0, "no slot became free in time");
     let message = format!(
-        "no slot for stage {} was free while a typical request would still have made it",
+        "no slot for stage {} became free early enough to finish within the deadline",
         task.stage.name
     );
     (ErrorKind::CannotFinish, message)
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -1,4 +1,4 @@
-//! Starting an entry: listeners, traffic threads, control thread.
+//! Start and stop of an entry: listeners, traffic threads and the control thread.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -24,12 +24,13 @@
 use crate::worker::Worker;
 use crate::{callers, operators, peers, stop};
 
-/// How long an idle caller's connection stays open.
+/// Idle timeout of connections.
 const KEEP_ALIVE: Duration = Duration::from_secs(15);
-/// How long closing listeners wait for connections; requests are done by then.
+/// Longest wait for open connections when the listeners close; requests have ended
+/// by then.
 const SHUTDOWN_SECONDS: u64 = 5;
 
-/// Why an entry does not start.
+/// Failure to start an entry.
 #[derive(Debug, Snafu)]
 pub enum StartError {
     #[snafu(display("cannot listen on {address}: {source}; check [listen] in the settings"))]
@@ -39,13 +40,13 @@
     },
     #[snafu(display("{source}"))]
     Tls { source: tls::TlsError },
-    #[snafu(display("cannot start a listener: {source}; check limits of open files"))]
+    #[snafu(display("cannot start a listener: {source}; check the limit of open files"))]
     Serve { source: std::io::Error },
-    #[snafu(display("no randomness: {reason}; the system has to provide it"))]
+    #[snafu(display("cannot get random bytes from the operating system: {reason}"))]
     Randomness { reason: String },
 }
 
-/// A running entry.
+/// A running entry and the addresses of its listeners.
 pub struct RunningEntry {
     pub entry: Arc<Entry>,
     pub callers: SocketAddr,
@@ -57,24 +58,24 @@
     control_thread: Arbiter,
 }
 
-/// What a start may vary; tests and the bench use shorter times.
+/// Options of a start other than the settings, for tests and the bench.
 #[derive(Debug, Clone, Default)]
 pub struct StartOptions {
     pub timing: FleetTiming,
     pub switches: Switches,
-    /// Configuration in force from the first moment, without store or peers.
+    /// Configuration to put in force at the start, without store or peers.
     pub configuration: Option<Arc<Configuration>>,
 }
 
 /// Starts an entry inside a running actix system.
 pub async fn start(settings: Settings, options: StartOptions) -> Result<RunningEntry, StartError> {
     metrics::install();
-    let callers_at = listen(settings.callers)?;
-    let peers_at = listen(settings.peers)?;
-    let operators_at = listen(settings.operators)?;
-    let callers_address = address_of(&callers_at)?;
-    let peers_address = address_of(&peers_at)?;
-    let operators_address = address_of(&operators_at)?;
+    let callers_listener = listen(settings.callers)?;
+    let peers_listener = listen(settings.peers)?;
+    let operators_listener = listen(settings.operators)?;
+    let callers_address = address_of(&callers_listener)?;
+    let peers_address = address_of(&peers_listener)?;
+    let operators_address = address_of(&operators_listener)?;
     let incarnation = new_incarnation()?;
     let own = Member {
         incarnation,
@@ -99,14 +100,26 @@
         let _ = control.send(Adopt(configuration)).await;
     }
     let servers = vec![
-        serve(&entry, &control, callers_at, callers::routes, Secured::Yes)?,
-        serve(&entry, &control, peers_at, peers::routes, Secured::No)?,
         serve(
             &entry,
             &control,
-            operators_at,
+            callers_listener,
+            callers::routes,
+            UseTls::IfConfigured,
+        )?,
+        serve(
+            &entry,
+            &control,
+            peers_listener,
+            peers::routes,
+            UseTls::Never,
+        )?,
+        serve(
+            &entry,
+            &control,
+            operators_listener,
             operators::routes,
-            Secured::Yes,
+            UseTls::IfConfigured,
         )?,
     ];
     let handles = servers.iter().map(Server::handle).collect();
@@ -172,14 +185,14 @@
     let address = Control::start_in_arbiter(&arbiter.handle(), move |_| {
         Control::new(shared, fleet, tick, rng)
     });
-    entry.set_facts(address.clone().recipient());
+    entry.set_report_recipient(address.clone().recipient());
     (address, arbiter)
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Secured {
-    Yes,
-    No,
+enum UseTls {
+    IfConfigured,
+    Never,
 }
 
 fn serve(
@@ -187,7 +200,7 @@
     control: &Addr<Control>,
     listener: TcpListener,
     routes: fn(&mut web::ServiceConfig),
-    secured: Secured,
+    use_tls: UseTls,
 ) -> Result<Server, StartError> {
     let shared = entry.clone();
     let control = control.clone();
@@ -199,12 +212,12 @@
     })
     .workers(entry.settings.limits.threads)
     .keep_alive(KEEP_ALIVE)
-    // A caller that goes away ends a run that may be repeated.
+    // Detects callers that disconnect, so that a run that may be repeated is aborted.
     .h1_allow_half_closed(false)
     .shutdown_timeout(SHUTDOWN_SECONDS)
     .disable_signals();
-    let server = match (&entry.settings.tls, secured) {
-        (Some(files), Secured::Yes) => {
+    let server = match (&entry.settings.tls, use_tls) {
+        (Some(files), UseTls::IfConfigured) => {
             let config = tls::load(files).context(TlsSnafu)?;
             server.listen_rustls_0_23(listener, config)
         }
@@ -214,13 +227,13 @@
 }
 
 impl RunningEntry {
-    /// A planned stop: nothing is cut.
+    /// Planned stop: no request is interrupted.
     pub async fn stop(self) {
         stop::run(self.entry.clone(), self.control.clone()).await;
         self.close(true).await;
     }
 
-    /// Ends at once, as a crash would.
+    /// Stops immediately, like a crash.
     pub async fn kill(self) {
         self.close(false).await;
     }
--- a/crates/entry/src/stop.rs
+++ b/crates/entry/src/stop.rs
@@ -1,8 +1,9 @@
-//! A planned stop that cuts no request.
+//! Planned stop of an entry without interrupting requests.
 //!
-//! Say leaving and fail the health check; go on serving while the balancer
-//! lags; open no more records; finish what is in flight; hand the ledger to a
-//! peer; tell the others where it went; only then close the listeners.
+//! Announces the stop and fails the health check, serves on for `stop_grace_ms`
+//! until the balancer has noticed, opens no more records, waits for the requests in
+//! flight, hands the ledger over to a peer and announces the successor. The
+//! listeners are closed after that.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -15,76 +16,78 @@
 
 use crate::auth::{peer_token, PEER_HEADER};
 use crate::context::Entry;
-use crate::control::{BeginStop, Control, LeaveFor};
+use crate::control::{AnnounceLeft, BeginStop, Control};
 use crate::events;
 
-/// Longest wait for requests in flight: the longest deadline and some.
+/// Longest wait for requests in flight; above the longest deadline of a pipeline.
 const DRAIN_LIMIT: Duration = Duration::from_secs(130);
-/// Between two looks at what is in flight.
-const DRAIN_PAUSE: Duration = Duration::from_millis(20);
-/// Times one successor is asked again after an answer was lost.
-const HAND_OVER_TRIES: u32 = 20;
-/// Between two tries.
+/// Interval between two checks of the requests in flight.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Most attempts to hand over to one successor.
+const HAND_OVER_ATTEMPTS: u32 = 20;
+/// Pause between two attempts.
 const HAND_OVER_PAUSE: Duration = Duration::from_millis(250);
-/// Longest wait for a successor's answer.
+/// Longest wait for a successor's answer to one attempt.
 const HAND_OVER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Runs a planned stop to its end; the listeners may be closed after.
+/// Runs a planned stop, up to closing the listeners.
 pub async fn run(entry: Arc<Entry>, control: Addr<Control>) {
     let _ = control.send(BeginStop).await;
     tokio::time::sleep(Duration::from_millis(entry.settings.limits.stop_grace_ms)).await;
     entry.once.lock().expect("no panic while held").stop();
     drain(&entry).await;
     let successor = hand_over(&entry).await;
-    let told = control.send(LeaveFor(successor)).await.unwrap_or(0);
-    entry.log(events::LEFT, format_args!("peers_told={told}"));
+    let notified = control.send(AnnounceLeft(successor)).await.unwrap_or(0);
+    entry.log(events::LEFT, format_args!("peers_told={notified}"));
 }
 
 async fn drain(entry: &Entry) {
-    let busy = || {
+    let active = || {
         let open = entry
             .once
             .lock()
             .expect("no panic while held")
-            .open_records();
+            .open_record_count();
         entry.in_flight.load(Ordering::Relaxed) as usize + open
     };
     let wait = async {
-        while busy() > 0 {
-            tokio::time::sleep(DRAIN_PAUSE).await;
+        while active() > 0 {
+            tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
         }
     };
     let _ = tokio::time::timeout(DRAIN_LIMIT, wait).await;
-    entry.log(events::STOP_DRAINED, format_args!("left={}", busy()));
+    entry.log(events::STOP_DRAINED, format_args!("left={}", active()));
 }
 
-/// Gives the ledger to one peer. A peer whose answer is lost may have taken
-/// it, so it is asked again and nobody else: two successors could each run a
-/// ticket once.
+/// Hands the ledger over to one peer. A peer that didn't answer may have adopted it,
+/// so only that peer is retried: two successors could each run the same ticket.
 async fn hand_over(entry: &Arc<Entry>) -> Option<Incarnation> {
     for member in successors(entry) {
-        let Some(hand_over) = prepare(entry, &member) else {
-            entry.log(events::HAND_OVER_FAILED, format_args!("why=\"still open\""));
+        let Some(hand_over) = prepare_hand_over(entry, &member) else {
+            entry.log(
+                events::HAND_OVER_FAILED,
+                format_args!("why=\"records are still open\""),
+            );
             return None;
         };
-        match give(entry, &member, &hand_over).await {
-            Given::Taken => {
+        match send_ledger(entry, &member, &hand_over).await {
+            HandOverResult::Adopted => {
                 entry.log(events::HANDED_OVER, format_args!("to={}", member.name));
                 return Some(member.incarnation);
             }
-            Given::Refused => {}
-            Given::Unknown => break,
+            HandOverResult::Refused => {}
+            HandOverResult::Unknown => break,
         }
     }
     entry.log(
         events::HAND_OVER_FAILED,
-        format_args!("why=\"no successor\""),
+        format_args!("why=\"no successor adopted the ledger\""),
     );
     None
 }
 
-/// Live peers, those in this hall first: what may be held here may be held
-/// there.
+/// Peers that take work, those in this hall first: they may hold all answers that this
+/// entry may hold.
 fn successors(entry: &Entry) -> Vec<Member> {
     let view = entry.view();
     let mut members: Vec<Member> = view
@@ -97,7 +100,9 @@
     members
 }
 
-fn prepare(entry: &Entry, member: &Member) -> Option<HandOver> {
+/// The state of the ledger, with the answers that the member's hall may hold; `None`
+/// while a record is open.
+fn prepare_hand_over(entry: &Entry, member: &Member) -> Option<HandOver> {
     let configuration = entry.configuration();
     let may_hold = |org: &str| {
         configuration.as_ref().is_some_and(|configuration| {
@@ -111,21 +116,21 @@
     once.hand_over(entry.now(), may_hold)
 }
 
-enum Given {
-    Taken,
-    /// Certainly not taken.
+enum HandOverResult {
+    Adopted,
+    /// Certainly not adopted.
     Refused,
-    /// Perhaps taken, and no answer came.
+    /// No answer; it may have been adopted.
     Unknown,
 }
 
-async fn give(entry: &Entry, member: &Member, hand_over: &HandOver) -> Given {
+async fn send_ledger(entry: &Entry, member: &Member, hand_over: &HandOver) -> HandOverResult {
     let Ok(body) = rmp_serde::to_vec(hand_over) else {
-        return Given::Refused;
+        return HandOverResult::Refused;
     };
     let client = pooled_client();
-    let mut may_be_taken = false;
-    for _ in 0..HAND_OVER_TRIES {
+    let mut may_be_adopted = false;
+    for _ in 0..HAND_OVER_ATTEMPTS {
         let sent = client
             .post(format!("http://{}/peer/ledger", member.peer))
             .timeout(HAND_OVER_TIMEOUT)
@@ -133,12 +138,14 @@
             .send_body(body.clone())
             .await;
         match sent {
-            Ok(res) if res.status().is_success() => return Given::Taken,
-            Ok(res) if res.status().is_client_error() && !may_be_taken => return Given::Refused,
-            Err(err) if nothing_sent(&err) && !may_be_taken => return Given::Refused,
-            _ => may_be_taken = true,
+            Ok(res) if res.status().is_success() => return HandOverResult::Adopted,
+            Ok(res) if res.status().is_client_error() && !may_be_adopted => {
+                return HandOverResult::Refused
+            }
+            Err(err) if nothing_sent(&err) && !may_be_adopted => return HandOverResult::Refused,
+            _ => may_be_adopted = true,
         }
         tokio::time::sleep(HAND_OVER_PAUSE).await;
     }
-    Given::Unknown
+    HandOverResult::Unknown
 }
--- a/crates/entry/src/streaming.rs
+++ b/crates/entry/src/streaming.rs
@@ -1,7 +1,7 @@
-//! Answers as server-sent events: `token`, `restart`, and one `answer` last.
+//! Answers as server-sent events: `token`, `restart`, and a final `answer`.
 //!
-//! A caller holds the whole answer when the `answer` event has come with
-//! outcome `whole`; a stream that ends without one is not whole.
+//! The answer is complete if the `answer` event has the outcome `whole`; a stream
+//! that ends without an `answer` event is incomplete.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -20,22 +20,22 @@
 use crate::view::InFlight;
 use crate::worker::Worker;
 
-/// Events that may wait for a slow caller.
-const BUFFERED: usize = 64;
+/// Most events buffered for a slow caller.
+const EVENT_BUFFER: usize = 64;
 
 enum Event {
     Progress(Progress),
     Answer(Box<AnswerBody>),
 }
 
-/// Events of one run; dropping it ends a run that may be repeated.
+/// Events of one run; dropping it aborts the run if `abort_on_drop` is set.
 struct EventStream {
     progress: mpsc::Receiver<Progress>,
     answer: mpsc::Receiver<AnswerBody>,
     task: JoinHandle<()>,
     abort_on_drop: bool,
-    ended: bool,
-    /// A planned stop waits for the stream, not only for its beginning.
+    is_done: bool,
+    /// Makes a planned stop wait until the stream has ended.
     _in_flight: InFlight,
 }
 
@@ -51,10 +51,10 @@
     type Item = Result<Bytes, actix_web::Error>;
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
-        if self.ended {
+        if self.is_done {
             return Poll::Ready(None);
         }
-        // Progress ends when the run drops its sink, just before the answer.
+        // The run closes the progress channel just before it sends the answer.
         let event = match self.progress.poll_recv(cx) {
             Poll::Pending => return Poll::Pending,
             Poll::Ready(Some(progress)) => Event::Progress(progress),
@@ -62,7 +62,7 @@
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(None) => return Poll::Ready(None),
                 Poll::Ready(Some(answer)) => {
-                    self.ended = true;
+                    self.is_done = true;
                     Event::Answer(Box::new(answer))
                 }
             },
@@ -82,29 +82,29 @@
     Bytes::from(format!("event: {name}\ndata: {data}\n\n"))
 }
 
-/// Runs a job that may be repeated; the run ends with its caller.
+/// Runs a job that may be repeated; aborts it when the caller disconnects.
 pub fn respond(worker: &Worker, job: Job) -> HttpResponse {
     start(worker, job, None)
 }
 
-/// Runs a job that must not be repeated; the run goes on without its caller.
+/// Runs a job that must not be repeated; continues after the caller disconnects.
 pub fn respond_once(worker: &Worker, job: Job, record: OpenRecord) -> HttpResponse {
     start(worker, job, Some(record))
 }
 
 fn start(worker: &Worker, job: Job, record: Option<OpenRecord>) -> HttpResponse {
-    let (progress_tx, progress) = mpsc::channel(BUFFERED);
+    let (progress_tx, progress) = mpsc::channel(EVENT_BUFFER);
     let (answer_tx, answer) = mpsc::channel(1);
     let abort_on_drop = record.is_none();
     let in_flight = InFlight::new(&worker.entry.in_flight);
     let worker = worker.clone();
     let task = actix_rt::spawn(async move {
-        let ended = pipeline::run(&worker, &job, Some(&progress_tx)).await;
+        let body = pipeline::run(&worker, &job, Some(&progress_tx)).await;
         if let Some(record) = record {
-            record.close(ended.to_bytes());
+            record.close(body.to_bytes());
         }
         drop(progress_tx);
-        let _ = answer_tx.send(ended).await;
+        let _ = answer_tx.send(body).await;
     });
     HttpResponse::Ok()
         .content_type("text/event-stream")
@@ -114,7 +114,7 @@
             answer,
             task,
             abort_on_drop,
-            ended: false,
+            is_done: false,
             _in_flight: in_flight,
         })
 }
--- a/crates/entry/src/task.rs
+++ b/crates/entry/src/task.rs
@@ -1,4 +1,4 @@
-//! One stage of one request as its attempts see it.
+//! One stage of a job, as passed to its attempts.
 
 use hollowsail_config::Stage;
 use hollowsail_routing::StagePlan;
@@ -11,22 +11,23 @@
 pub struct StageTask<'a> {
     pub worker: &'a Worker,
     pub job: &'a Job,
-    /// Position in the pipeline.
+    /// Index of the stage in the pipeline.
     pub at: usize,
     pub stage: &'a Stage,
     pub plan: StagePlan,
-    /// The organisation held more than its share: it waits behind the others.
+    /// The organisation exceeded its share when the request was admitted: it queues behind
+    /// others.
     pub over_share: bool,
     pub sink: Option<&'a Sink>,
 }
 
 impl StageTask<'_> {
-    /// Name of the stage's service, which keys of other revisions are found by.
+    /// Name of the stage's service, by which it is found in other revisions.
     pub fn service_name(&self) -> &str {
         let deployment = &self.job.configuration.deployment;
         &deployment.service(self.stage.service).name
     }
 }
 
-/// Why a stage has no output.
+/// Error kind and message of a failed request or stage.
 pub type Failure = (ErrorKind, String);
--- a/crates/entry/src/tickets.rs
+++ b/crates/entry/src/tickets.rs
@@ -1,4 +1,7 @@
-//! Issuing tickets, here or at an entry that may serve the organisation.
+//! Issues tickets, for requests that run at most once.
+//!
+//! An entry that may not serve the organisation, or that is stopping, relays the
+//! call to one that may.
 
 use std::time::{Duration, Instant};
 
@@ -9,20 +12,20 @@
 use crate::answer::AnswerBody;
 use crate::auth;
 use crate::body::SharedBody;
-use crate::judge::{no_permitted_entry, permitted_entries, serves_here, Judged};
 use crate::kinds::ErrorKind;
+use crate::origin::Origin;
 use crate::relay::{self, Relay};
-use crate::sender::Sender;
+use crate::validate::{is_permitted_here, no_permitted_entry, permitted_entries, ValidatedRequest};
 use crate::worker::Worker;
 
-/// Most tickets of one call.
+/// Most tickets issued by one call.
 const MAX_TICKETS: usize = 1000;
 
-/// Body of a ticket answer.
+/// Body of the response to a ticket request.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Tickets {
     pub tickets: Vec<String>,
-    /// How long they may be presented, in milliseconds from now.
+    /// How long the tickets are valid, in milliseconds from now.
     pub valid_ms: u64,
 }
 
@@ -32,59 +35,59 @@
     count: Option<usize>,
 }
 
-/// The callers' side.
-pub async fn tickets_for_caller(
+/// Handles a ticket request from a caller.
+pub async fn handle_caller(
     worker: web::Data<Worker>,
     req: HttpRequest,
     query: web::Query<TicketQuery>,
     body: web::Payload,
 ) -> HttpResponse {
-    tickets(&worker, &req, &query, body, Sender::CALLER).await
+    issue(&worker, &req, &query, body, Origin::CALLER).await
 }
 
-/// Issues tickets, here or at an entry that may serve the organisation.
-pub async fn tickets(
+/// Issues tickets, or relays the call of a caller to an entry that may.
+pub async fn issue(
     worker: &Worker,
     req: &HttpRequest,
     query: &TicketQuery,
     body: web::Payload,
-    sender: Sender,
+    origin: Origin,
 ) -> HttpResponse {
     let view = worker.entry.view();
     let refuse = |kind, message: &str| AnswerBody::refusal("-", kind, message).into_response();
     let Some(configuration) = view.configuration.clone() else {
         return refuse(
             ErrorKind::NoConfiguration,
-            "no configuration is in force here yet",
+            "this entry has no configuration yet",
         );
     };
     let Some(org) = auth::organisation(req.headers(), &configuration.deployment) else {
         return refuse(
             ErrorKind::Unauthorized,
-            "the key belongs to no organisation",
+            "the bearer key is missing or belongs to no organisation",
         );
     };
     let count = query.count.unwrap_or(1);
     if !(1..=MAX_TICKETS).contains(&count) {
-        let message = format!("count is not a number from 1 to {MAX_TICKETS}");
+        let message = format!("count is {count}, not a number from 1 to {MAX_TICKETS}");
         return refuse(ErrorKind::BadRequest, &message);
     }
-    let judged = Judged {
+    let validated = ValidatedRequest {
         request: "-".into(),
         configuration,
         org,
         pipeline: PipelineKey(0),
         accepted: Instant::now(),
-        deadline: TICKET_TIME,
+        deadline: RELAY_TIMEOUT,
     };
-    let elsewhere = !serves_here(worker, &judged) || view.is_stopping();
-    if elsewhere && !sender.is_peer() {
-        return relay_tickets(worker, req, &judged, count, SharedBody::new(body)).await;
+    let issue_elsewhere = !is_permitted_here(worker, &validated) || view.is_stopping();
+    if issue_elsewhere && !origin.is_peer() {
+        return relay_tickets(worker, req, &validated, count, SharedBody::new(body)).await;
     }
     let entry = &worker.entry;
     let issued = entry.once.lock().expect("no panic while held").issue(
         entry.now(),
-        judged.org_name(),
+        validated.org_name(),
         count,
     );
     let key = &entry.settings.fleet_key;
@@ -94,24 +97,24 @@
     })
 }
 
-/// Time for getting tickets from another entry.
-const TICKET_TIME: Duration = Duration::from_secs(2);
+/// Longest wait for tickets of another entry.
+const RELAY_TIMEOUT: Duration = Duration::from_secs(2);
 
 async fn relay_tickets(
     worker: &Worker,
     req: &HttpRequest,
-    judged: &Judged,
+    validated: &ValidatedRequest,
     count: usize,
     body: SharedBody,
 ) -> HttpResponse {
     let path = format!("/peer/v1/tickets?count={count}");
-    for member in permitted_entries(worker, judged) {
+    for member in permitted_entries(worker, validated) {
         let relay = Relay {
             path: &path,
-            request: &judged.request,
+            request: &validated.request,
             headers: req.headers(),
             body: body.clone(),
-            remaining: judged.remaining(),
+            remaining: validated.remaining(),
             hops: 1,
             claim_owner: false,
         };
@@ -119,5 +122,5 @@
             return response;
         }
     }
-    no_permitted_entry(judged).into_response()
+    no_permitted_entry(validated).into_response()
 }
--- a/crates/entry/src/tls.rs
+++ b/crates/entry/src/tls.rs
@@ -1,5 +1,4 @@
-//! TLS for the callers' and operators' listeners, where settings name a
-//! certificate.
+//! TLS of the callers' and operators' listeners, if the settings name a certificate.
 
 use hollowsail_config::settings::TlsFiles;
 use rustls::ServerConfig;
@@ -7,24 +6,24 @@
 use rustls_pki_types::{CertificateDer, PrivateKeyDer};
 use snafu::{ResultExt, Snafu};
 
-/// Why the certificate cannot be used.
+/// Failure to load the certificate or its key.
 #[derive(Debug, Snafu)]
 pub enum TlsError {
-    #[snafu(display("cannot read certificate {path}: {source}; give a PEM file"))]
+    #[snafu(display("cannot read certificate {path}: {source}; a PEM file is expected"))]
     Certificate {
         path: String,
         source: rustls_pki_types::pem::Error,
     },
-    #[snafu(display("cannot read key {path}: {source}; give a PEM file"))]
+    #[snafu(display("cannot read key {path}: {source}; a PEM file is expected"))]
     Key {
         path: String,
         source: rustls_pki_types::pem::Error,
     },
-    #[snafu(display("certificate and key do not fit: {source}; check [tls] in the settings"))]
+    #[snafu(display("certificate and key do not match: {source}; check [tls] in the settings"))]
     Pair { source: rustls::Error },
 }
 
-/// Reads the files and makes a server configuration.
+/// Builds a server configuration from the PEM files.
 pub fn load(files: &TlsFiles) -> Result<ServerConfig, TlsError> {
     let chain = CertificateDer::pem_file_iter(&files.certificate)
         .and_then(|certs| certs.collect::<Result<Vec<_>, _>>())
--- a/crates/entry/src/view.rs
+++ b/crates/entry/src/view.rs
@@ -1,8 +1,8 @@
-//! The snapshot that the control thread publishes and traffic reads.
+//! The snapshot that the control thread publishes and traffic threads read.
 //!
 //! A traffic thread loads one [`View`] per decision and never waits for the
-//! control thread. Counters of requests in flight are shared atomics: they
-//! change with every dispatch, faster than snapshots are made.
+//! control thread. Counters of requests in flight are shared atomics, as they
+//! change with every dispatch.
 
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::{Arc, Mutex};
@@ -14,42 +14,44 @@
 use crate::configuration::Configuration;
 use crate::gate::Gate;
 
-/// One target, in the order of the deployment's arena.
+/// State of one target.
 #[derive(Debug, Clone)]
 pub struct TargetView {
-    /// Calls of this entry in flight there.
+    /// Calls of this entry in flight at the target.
     pub in_flight: Arc<AtomicU32>,
-    /// Recent times over typical ones; 1 is as usual.
+    /// Ratio of recent to typical latency; 1 is normal.
     pub slowness: f64,
     pub ejected: bool,
-    /// Not leaving and not gone.
+    /// Neither draining nor gone.
     pub takes_work: bool,
-    /// Load the target last reported; 0 when it reports none.
-    pub reported: f64,
-    /// How much that report still says, 1 to 0.
+    /// Load that the target last reported; 0 when it reported none.
+    pub reported_load: f64,
+    /// Weight of that report, from 1 when new down to 0.
     pub report_weight: f64,
 }
 
-/// One service, in the order of the deployment's arena.
+/// State of one service.
 #[derive(Debug, Clone)]
 pub struct ServiceView {
-    /// Extra attempts that this entry may make.
+    /// Retry budget of this entry.
     pub retries: Arc<Mutex<RetryBudget>>,
-    /// Requests that wait here for a slot.
+    /// Requests of this entry that wait for a slot.
     pub gate: Arc<Gate>,
 }
 
-/// Everything a traffic decision may look at.
+/// Input of routing decisions; immutable except for the shared counters.
 #[derive(Debug, Clone)]
 pub struct View {
     pub configuration: Option<Arc<Configuration>>,
+    /// In the order of the deployment's arena.
     pub targets: Vec<TargetView>,
+    /// In the order of the deployment's arena.
     pub services: Vec<ServiceView>,
     /// Expected times by pipeline and stage.
     pub stages: Vec<Vec<StageExpectation>>,
     pub own: Member,
     pub members: Vec<Member>,
-    /// Peers have told this entry what they know.
+    /// True after a peer has sent this entry the whole member list.
     pub joined: bool,
     pub standing: Standing,
 }
@@ -59,21 +61,21 @@
         &self.targets[key.index()]
     }
 
-    /// A service by name, since keys of other revisions do not fit.
+    /// Finds a service by name, as keys of other revisions don't match.
     pub fn service_named(&self, name: &str) -> Option<&ServiceView> {
         let services = &self.deployment()?.services;
-        let at = services.iter().position(|service| service.name == name)?;
-        self.services.get(at)
+        let index = services.iter().position(|service| service.name == name)?;
+        self.services.get(index)
     }
 
-    /// Requests that a target holds, as far as this entry can tell: its own,
-    /// and those of the others as the target reported them or, the less that
-    /// report still says, as if every entry sent as much as this one.
-    pub fn held_by(&self, key: TargetKey) -> f64 {
+    /// Estimates the requests in flight at a target from all entries: this entry's,
+    /// plus a weighted mean of the target's last report and the assumption that every
+    /// other entry has as many as this one.
+    pub fn estimated_load(&self, key: TargetKey) -> f64 {
         let state = self.target(key);
         let own = f64::from(state.in_flight.load(Ordering::Relaxed));
-        let reported = (state.reported - own).max(0.0);
-        let assumed = own * (self.entries() - 1) as f64;
+        let reported = (state.reported_load - own).max(0.0);
+        let assumed = own * (self.entry_count() - 1) as f64;
         own + state.report_weight * reported + (1.0 - state.report_weight) * assumed
     }
 
@@ -97,18 +99,18 @@
             .map_or(0, |configuration| configuration.revision())
     }
 
-    /// The member that answers for the tickets of `issuer`.
-    pub fn answering(&self, issuer: Incarnation) -> Option<&Member> {
-        member::answering(issuer, |wanted| {
+    /// The member responsible for the tickets of `issuer`.
+    pub fn responsible_member(&self, issuer: Incarnation) -> Option<&Member> {
+        member::answering(issuer, |incarnation| {
             self.members
                 .iter()
                 .chain([&self.own])
-                .find(|member| member.incarnation == wanted)
+                .find(|member| member.incarnation == incarnation)
         })
     }
 
-    /// Entries that share the targets with this one, itself included.
-    pub fn entries(&self) -> usize {
+    /// Number of entries that share the targets, including this one.
+    pub fn entry_count(&self) -> usize {
         1 + self.members.iter().filter(|m| m.is_present()).count()
     }
 
@@ -117,7 +119,7 @@
     }
 }
 
-/// Counts one call in flight for as long as it lives.
+/// Counts one request or call as in flight until dropped.
 #[derive(Debug)]
 pub struct InFlight(Arc<AtomicU32>);
 
--- a/crates/entry/src/worker.rs
+++ b/crates/entry/src/worker.rs
@@ -1,4 +1,4 @@
-//! What one traffic thread has: the shared context and its own clients.
+//! State of one traffic thread: the shared context and the thread's own clients.
 
 use std::sync::Arc;
 
@@ -10,15 +10,15 @@
 use crate::context::Entry;
 use crate::control::Control;
 
-/// Thread-local side of traffic; `awc` clients stay on their thread.
+/// State of a traffic thread; not `Send`, because `awc` clients are thread-local.
 #[derive(Clone)]
 pub struct Worker {
     pub entry: Arc<Entry>,
     /// The control thread.
     pub control: Addr<Control>,
-    /// Reuses connections; for calls that may be repeated.
+    /// Client that reuses connections, for calls that may be repeated.
     pub pooled: Client,
-    /// A connection per call; for calls that may not.
+    /// Client with a new connection per call, for calls that must not be repeated.
     pub single_use: Client,
     pub store: Option<StoreClient>,
 }
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The client for a call that may or may not be repeated.
+    /// The client for a call, by whether it may be repeated.
     pub fn client(&self, repeatable: bool) -> &Client {
         if repeatable {
             &self.pooled
--- a/crates/entry/tests/suite/configuration.rs
+++ b/crates/entry/tests/suite/configuration.rs
@@ -1,4 +1,4 @@
-//! Revisions are built from exactly what their heads name.
+//! Building configuration revisions from a head and its chunks.
 
 use std::sync::Arc;
 
@@ -14,28 +14,29 @@
 }
 
 #[test]
-fn a_revision_keeps_no_chunk_of_the_one_before() {
+fn build_drops_chunks_of_other_revisions() {
     let (files, chunks) = split(&[file("one")]);
     let head = Head::following(None, "first", files);
-    let first = Configuration::build(head, chunks).expect("it is right");
+    let first = Configuration::build(head, chunks).expect("configuration is valid");
     let (files, mut chunks) = split(&[file("two")]);
     chunks.extend(first.chunks.clone());
     let head = Head::following(Some(&first.head), "second", files);
-    let second = Configuration::build(head, chunks).expect("it is right");
+    let second = Configuration::build(head, chunks).expect("configuration is valid");
     assert_eq!(second.deployment.name, "two");
     assert_eq!(second.chunks.len(), 1);
 }
 
 #[test]
-fn a_missing_or_changed_chunk_makes_no_revision() {
+fn build_fails_on_missing_or_faulty_chunk() {
     let (files, chunks) = split(&[file("one")]);
     let head = Head::following(None, "first", files);
-    let err = Configuration::build(head.clone(), Default::default()).expect_err("none is there");
+    let err =
+        Configuration::build(head.clone(), Default::default()).expect_err("the chunk is missing");
     assert!(err.to_string().contains("is missing"), "{err}");
     let faulty = chunks
         .into_keys()
         .map(|hash| (hash, Arc::new(b"[hall.a]\n".to_vec())))
         .collect();
-    let err = Configuration::build(head, faulty).expect_err("it has a fault");
+    let err = Configuration::build(head, faulty).expect_err("the chunk has a fault");
     assert!(err.to_string().contains("hall.a.region"), "{err}");
 }
--- a/crates/entry/tests/suite/main.rs
+++ b/crates/entry/tests/suite/main.rs
@@ -1,4 +1,4 @@
-//! Parts of the entry that need no sockets.
+//! Tests of the entry's modules without sockets.
 
 mod configuration;
 mod tls;
