--- a/crates/entry/src/apply.rs
+++ b/crates/entry/src/apply.rs
@@ -36,7 +36,7 @@
 #[serde(deny_unknown_fields)]
 pub struct ApplyRequest {
     pub files: Vec<SourceFile>,
-    /// Revision that the files were derived from.
+    /// Revision that the operator expects to be in force.
     pub base: u64,
     /// Chosen by the operator; an id is applied at most once.
     pub apply_id: String,
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -1,9 +1,8 @@
 //! Attempts at one stage, with retries.
 //!
-//! [`routes`] finds the target of each attempt and waits for a
-//! slot, [`dispatch`](mod@crate::dispatch) makes the call. This module classifies the
-//! result of the attempt, reports it to the control thread and decides whether to
-//! retry.
+//! [`routes`] finds the target of each attempt and waits for a slot,
+//! [`dispatch`](mod@crate::dispatch) makes the call. This module classifies the result
+//! of the attempt, reports it to the control thread and decides whether to retry.
 
 use std::time::{Duration, Instant};
 
--- a/crates/entry/src/body.rs
+++ b/crates/entry/src/body.rs
@@ -94,7 +94,7 @@
             (ErrorKind::BadRequest, message)
         })?;
         if bytes.len() + chunk.len() > limit {
-            let message = format!("the request body exceeds {limit} bytes");
+            let message = format!("the request body has more than {limit} bytes");
             return Err((ErrorKind::BodyTooLarge, message));
         }
         bytes.extend_from_slice(&chunk);
--- a/crates/entry/src/control/config_sync.rs
+++ b/crates/entry/src/control/config_sync.rs
@@ -28,6 +28,7 @@
 const WATCH_WAIT: Duration = Duration::from_secs(10);
 /// Backoff after the first failed store call; doubles up to [`MAX_BACKOFF`].
 const MIN_BACKOFF: Duration = Duration::from_millis(250);
+/// Longest backoff of store calls.
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
 /// Interval between two checks whether this entry should watch the store.
 const WATCH_CHECK_INTERVAL: Duration = Duration::from_millis(500);
--- a/crates/entry/src/once_ledger.rs
+++ b/crates/entry/src/once_ledger.rs
@@ -140,7 +140,7 @@
     }
 
     /// Returns the state for a successor, with the answers of the organisations for which
-    /// `may_hold` is true; `None` while a record is open.
+    /// `may_hold` is true; `None` while a record is open or before [`OnceLedger::stop`].
     pub fn hand_over(&mut self, now: Millis, may_hold: impl Fn(&str) -> bool) -> Option<HandOver> {
         self.ledger.hand_over(now, may_hold)
     }
--- a/crates/entry/src/validate.rs
+++ b/crates/entry/src/validate.rs
@@ -79,7 +79,7 @@
         return Err(refuse(ErrorKind::Unauthorized, message));
     };
     let Some(pipeline) = deployment.find_pipeline(name) else {
-        let message = format!("unknown pipeline {name}");
+        let message = format!("there is no pipeline {name}");
         return Err(refuse(ErrorKind::UnknownPipeline, message));
     };
     if !deployment.may_call(org, pipeline) {
