--- a/crates/entry/src/judge.rs
+++ b/crates/entry/src/validate.rs
@@ -1,5 +1,7 @@
-//! Judging a request from its headers: who asks, for what, until when, and
-//! whether this entry may serve it.
+//! Validation of a request from its headers alone, before its body is read.
+//!
+//! Determines the organisation, the pipeline and the deadline, and whether this
+//! entry is in a hall that may serve the organisation.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -16,8 +18,8 @@
 use crate::kinds::ErrorKind;
 use crate::worker::Worker;
 
-/// A request as judged from its headers.
-pub struct Judged {
+/// A request whose headers are valid.
+pub struct ValidatedRequest {
     pub request: String,
     pub configuration: Arc<Configuration>,
     pub org: OrganisationKey,
@@ -26,7 +28,7 @@
     pub deadline: Duration,
 }
 
-impl Judged {
+impl ValidatedRequest {
     pub fn org_name(&self) -> &str {
         &self.configuration.deployment.organisation(self.org).name
     }
@@ -36,42 +38,44 @@
     }
 }
 
-/// A refusal is about the request, not about this send of it. With a ticket or
-/// id another send may have run, and only the ledger that answers for it knows.
-pub fn true_refusal(headers: &HeaderMap, refusal: Refusal) -> Refusal {
+/// Weakens "not run" to "unknown" for a request with a ticket or idempotency key:
+/// an earlier send of it may have run, which only the responsible ledger knows.
+pub fn with_possible_earlier_send(headers: &HeaderMap, refusal: Refusal) -> Refusal {
     match headers::runs_once(headers) {
-        true => refusal.in_doubt(),
+        true => refusal.into_unknown(),
         false => refusal,
     }
 }
 
-/// Judges a request; the refusal says what is wrong with it, or with this entry.
-pub fn judge(
+/// Validates a request. Refuses it if its headers are invalid, or if this entry is
+/// overloaded, isolated or without a configuration.
+pub fn validate(
     worker: &Worker,
     headers: &HeaderMap,
     request: &str,
     name: &str,
-) -> Result<Judged, Refusal> {
+) -> Result<ValidatedRequest, Refusal> {
     let refuse = |kind, message: String| AnswerBody::refusal(request, kind, message);
     let view = worker.entry.view();
     let in_flight = worker.entry.in_flight.load(Ordering::Relaxed) as usize;
-    // What carries a ticket or id is bounded by the ledger.
-    let bounded = !headers::runs_once(headers);
-    if bounded && in_flight > worker.entry.settings.limits.max_in_flight {
-        let message = format!("{in_flight} requests are in flight here");
+    // Requests with a ticket or idempotency key are bounded by the ledger instead.
+    let is_bounded = !headers::runs_once(headers);
+    if is_bounded && in_flight > worker.entry.settings.limits.max_in_flight {
+        let message = format!("{in_flight} requests are in flight at this entry");
         return Err(refuse(ErrorKind::Overloaded, message));
     }
     let Some(configuration) = view.configuration.clone() else {
-        let message = "no configuration is in force here yet".to_string();
+        let message = "this entry has no configuration yet".to_string();
         return Err(refuse(ErrorKind::NoConfiguration, message));
     };
     if view.standing == Standing::Isolated {
-        let message = "this entry reaches neither the store nor its peers".to_string();
+        let message =
+            "this entry is isolated: it can reach neither the store nor its peers".to_string();
         return Err(refuse(ErrorKind::Isolated, message));
     }
     let deployment = &configuration.deployment;
     let Some(org) = auth::organisation(headers, deployment) else {
-        let message = "the key belongs to no organisation".to_string();
+        let message = "the bearer key is missing or belongs to no organisation".to_string();
         return Err(refuse(ErrorKind::Unauthorized, message));
     };
     let Some(pipeline) = deployment.find_pipeline(name) else {
@@ -79,13 +83,13 @@
         return Err(refuse(ErrorKind::UnknownPipeline, message));
     };
     if !deployment.may_call(org, pipeline) {
-        let message = format!("the organisation may not call {name}");
+        let message = format!("the organisation is not allowed to call pipeline {name}");
         return Err(refuse(ErrorKind::NotAllowed, message));
     }
-    let longest = deployment.pipeline(pipeline).deadline_ms;
+    let longest_ms = deployment.pipeline(pipeline).deadline_ms;
     let deadline =
-        headers::deadline(headers, longest).map_err(|(kind, message)| refuse(kind, message))?;
-    Ok(Judged {
+        headers::deadline(headers, longest_ms).map_err(|(kind, message)| refuse(kind, message))?;
+    Ok(ValidatedRequest {
         request: request.into(),
         configuration,
         org,
@@ -95,32 +99,32 @@
     })
 }
 
-/// True when this entry stands in a hall that the organisation permits.
-pub fn serves_here(worker: &Worker, judged: &Judged) -> bool {
-    let deployment = &judged.configuration.deployment;
-    deployment.permits_named(judged.org, &worker.entry.settings.hall)
+/// True when this entry is in a hall that the organisation permits.
+pub fn is_permitted_here(worker: &Worker, validated: &ValidatedRequest) -> bool {
+    let deployment = &validated.configuration.deployment;
+    deployment.permits_named(validated.org, &worker.entry.settings.hall)
 }
 
-/// The refusal of a request that no entry may serve now.
-pub fn no_permitted_entry(judged: &Judged) -> Refusal {
+/// Refusal of a request for which no permitted entry is reachable.
+pub fn no_permitted_entry(validated: &ValidatedRequest) -> Refusal {
     let message = format!(
-        "no entry in a hall permitted to {} can be reached",
-        judged.org_name()
+        "no entry in a hall permitted to {} is reachable",
+        validated.org_name()
     );
-    AnswerBody::refusal(&judged.request, ErrorKind::NoPermittedEntry, message)
+    AnswerBody::refusal(&validated.request, ErrorKind::NoPermittedEntry, message)
 }
 
-/// Live entries in halls that the organisation permits, in random order.
-pub fn permitted_entries(worker: &Worker, judged: &Judged) -> Vec<Member> {
+/// Peers that take work, in halls that the organisation permits, in random order.
+pub fn permitted_entries(worker: &Worker, validated: &ValidatedRequest) -> Vec<Member> {
     use rand::seq::SliceRandom;
-    let deployment = &judged.configuration.deployment;
+    let deployment = &validated.configuration.deployment;
     let mut members: Vec<Member> = worker
         .entry
         .view()
         .members
         .iter()
         .filter(|member| member.takes_work())
-        .filter(|member| deployment.permits_named(judged.org, &member.hall))
+        .filter(|member| deployment.permits_named(validated.org, &member.hall))
         .cloned()
         .collect();
     members.shuffle(&mut rand::rng());
