--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of our own, and the type of every answer's body.
+//! Responses that the gateway creates itself, and the body type of every response.
 
 use std::pin::Pin;
 use std::time::Duration;
@@ -11,39 +11,39 @@
 use http_body_util::{BodyExt, Full};
 use snafu::Snafu;
 
-/// Why an answer ends before its end; the caller's connection breaks.
+/// Reason why a response body ends early; the caller's connection is closed.
 #[derive(Debug, Snafu)]
 pub enum BodyFault {
-    /// The target's connection broke.
-    #[snafu(display("the target's answer broke off: {source}"))]
+    /// The connection to the target failed.
+    #[snafu(display("the target's response was interrupted: {source}"))]
     Target {
         source: hollowsail_connect::BodyError,
     },
-    /// The request's time is over.
-    #[snafu(display("the request's time is over"))]
+    /// The deadline of the request passed.
+    #[snafu(display("the request's deadline passed before the response was complete"))]
     TimeOver,
 }
 
-/// Body of any answer.
+/// Body of a response.
 pub type AnswerStream = Pin<Box<dyn Body<Data = Bytes, Error = BodyFault>>>;
 
-/// A body that is all there.
+/// A complete body.
 pub fn whole(bytes: Bytes) -> AnswerStream {
     Box::pin(Full::new(bytes).map_err(|never| match never {}))
 }
 
-/// Why a request gets an answer of our own, and what it says.
+/// A request that the gateway answers itself with an error.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Refusal {
     pub kind: ErrorKind,
-    /// Replaces the kind's own time to come back.
+    /// Overrides the kind's own `Retry-After`.
     pub retry_after: Option<Duration>,
-    /// For the log and the caller; no payload.
+    /// Shown to the caller and in the log; contains no payload.
     pub detail: String,
 }
 
 impl Refusal {
-    /// A refusal with the kind's own time to come back.
+    /// A refusal with the kind's own `Retry-After`.
     pub fn new(kind: ErrorKind, detail: impl Into<String>) -> Self {
         Refusal {
             kind,
@@ -52,18 +52,18 @@
         }
     }
 
-    /// Names another time to come back.
+    /// Sets `Retry-After`.
     pub fn come_back_after(mut self, after: Duration) -> Self {
         self.retry_after = Some(after);
         self
     }
 
-    /// Status of the answer.
     pub fn status(&self) -> StatusCode {
-        StatusCode::from_u16(self.kind.answer().status).expect("the table holds valid statuses")
+        StatusCode::from_u16(self.kind.answer().status)
+            .expect("every error kind has a valid status")
     }
 
-    /// The answer itself.
+    /// The response, with a plain-text body. Only status 503 carries `Retry-After`.
     pub fn into_response(self, request_id: Option<&str>) -> Response<AnswerStream> {
         let row = self.kind.answer();
         let status = self.status();
--- a/crates/gateway/src/callers/activity.rs
+++ b/crates/gateway/src/callers/activity.rs
@@ -1,8 +1,7 @@
-//! What a caller's connection is doing, and since when.
+//! Tracks the state of a caller's connection for its time limits.
 //!
-//! A connection rests, or its head is coming in, or a request is under way.
-//! The first two have time limits of their own. The socket tells of bytes, the
-//! service of requests.
+//! A connection is idle, receives a request head, or runs a request; the first two have time
+//! limits. The socket reports received bytes, the service reports requests.
 
 use std::cell::Cell;
 use std::pin::Pin;
@@ -15,14 +14,14 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// What a connection is doing.
+/// State of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// Between requests.
-    Resting(Instant),
-    /// Some of a head is here.
+    /// Between requests, since this time.
+    Idle(Instant),
+    /// A request head is partly received, since this time.
     Head(Instant),
-    /// A request is under way.
+    /// A request is in progress.
     Busy,
 }
 
@@ -30,74 +29,72 @@
 #[derive(Debug)]
 pub struct Activity {
     phase: Cell<Phase>,
-    /// Told when a head begins, whose limit is the shorter one.
+    /// Notified when a head begins, since its time limit is shorter.
     head_began: Notify,
 }
 
 impl Activity {
-    /// A connection that was just accepted.
+    /// State of a connection that was just accepted.
     pub fn new() -> Rc<Self> {
         Rc::new(Activity {
-            phase: Cell::new(Phase::Resting(Instant::now())),
+            phase: Cell::new(Phase::Idle(Instant::now())),
             head_began: Notify::new(),
         })
     }
 
-    /// What it is doing.
     pub fn phase(&self) -> Phase {
         self.phase.get()
     }
 
-    /// A request was read.
+    /// A request head was received.
     pub fn request_began(&self) {
         self.phase.set(Phase::Busy);
     }
 
-    /// An answer went out, or was dropped.
+    /// The response was sent or dropped.
     pub fn request_ended(&self) {
-        self.phase.set(Phase::Resting(Instant::now()));
+        self.phase.set(Phase::Idle(Instant::now()));
     }
 
-    fn bytes_came(&self) {
-        if let Phase::Resting(_) = self.phase.get() {
+    fn on_bytes(&self) {
+        if let Phase::Idle(_) = self.phase.get() {
             self.phase.set(Phase::Head(Instant::now()));
             self.head_began.notify_one();
         }
     }
 
-    /// Waits until the connection has rested, or its head has taken, too long.
-    pub async fn limit_passed(&self, limits: &CallerLimits) {
+    /// Waits until the connection was idle, or received a head, for longer than its limit.
+    pub async fn timed_out(&self, limits: &CallerLimits) {
         loop {
             let now = Instant::now();
             let limit = match self.phase.get() {
-                Phase::Resting(since) => since + limits.idle_time,
+                Phase::Idle(since) => since + limits.idle_time,
                 Phase::Head(since) => since + limits.head_time,
-                // Looked at again some time after it ended.
+                // Checked again later.
                 Phase::Busy => now + limits.head_time,
             };
             if limit <= now {
                 return;
             }
-            // Either is a reason to look again.
-            let _looked = tokio::time::timeout_at(limit.into(), self.head_began.notified()).await;
+            // Check again after either.
+            let _woken = tokio::time::timeout_at(limit.into(), self.head_began.notified()).await;
         }
     }
 }
 
-/// A socket that tells of the bytes that come.
-pub struct Watched {
+/// A socket that reports received bytes.
+pub struct ObservedStream {
     stream: TcpStream,
     activity: Rc<Activity>,
 }
 
-impl Watched {
-    /// A socket whose bytes count as activity.
+impl ObservedStream {
     pub fn new(stream: TcpStream, activity: Rc<Activity>) -> Self {
-        Watched { stream, activity }
+        ObservedStream { stream, activity }
     }
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for ObservedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -106,13 +103,13 @@
         let before = buf.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(cx, buf);
         if buf.filled().len() > before {
-            self.activity.bytes_came();
+            self.activity.on_bytes();
         }
         polled
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for ObservedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/gateway/src/callers/connection.rs
+++ b/crates/gateway/src/callers/connection.rs
@@ -1,8 +1,8 @@
-//! One caller's connection.
+//! Serves one connection of a caller.
 //!
-//! `hyper` reads requests and writes answers; a handler is dropped as soon as
-//! its caller closes, and with it the target's connection. (`actix-web` runs a
-//! handler on after its caller left, which is why it isn't used here.)
+//! `hyper` reads requests and writes responses. It drops a handler when its caller
+//! disconnects, which also closes the connection to the target; `actix-web` would run the
+//! handler to its end.
 
 use std::convert::Infallible;
 use std::pin::pin;
@@ -18,41 +18,41 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-use super::activity::{Activity, Phase, Watched};
-use super::under_way::{CountedBody, UnderWay};
+use super::activity::{Activity, ObservedStream, Phase};
+use super::in_flight::{CountedBody, InFlight};
 use crate::request;
 use crate::traffic::{Stopping, Traffic};
 
-/// Limits while no configuration is known.
-const FIRST_LIMITS: CallerLimits = CallerLimits {
+/// Limits until a configuration is known.
+const DEFAULT_LIMITS: CallerLimits = CallerLimits {
     head_bytes: 16 << 10,
     body_bytes: 4 << 20,
     head_time: Duration::from_secs(3),
     idle_time: Duration::from_secs(15),
 };
-/// Smallest buffer that `hyper` takes.
-const LEAST_BUFFER: usize = 8 << 10;
+/// Smallest buffer that `hyper` accepts, in bytes.
+const MIN_BUFFER_BYTES: usize = 8 << 10;
 
-/// Serves a connection until it ends.
+/// Serves a connection in a task of its own.
 pub fn spawn(cx: &Rc<Traffic>, stream: TcpStream) {
     let cx = cx.clone();
     actix_rt::spawn(async move {
-        let _counted = Counted::begin(&cx);
+        let _counted = OpenConnection::begin(&cx);
         serve(&cx, stream).await;
     });
 }
 
-/// Counts a connection, however its task ends.
-struct Counted(Rc<Traffic>);
+/// Counts an open connection until it is dropped.
+struct OpenConnection(Rc<Traffic>);
 
-impl Counted {
+impl OpenConnection {
     fn begin(cx: &Rc<Traffic>) -> Self {
         cx.connections.set(cx.connections.get() + 1);
-        Counted(cx.clone())
+        OpenConnection(cx.clone())
     }
 }
 
-impl Drop for Counted {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
         self.0.connections.set(self.0.connections.get() - 1);
     }
@@ -60,34 +60,34 @@
 
 async fn serve(cx: &Rc<Traffic>, stream: TcpStream) {
     if let Err(err) = stream.set_nodelay(true) {
-        log::debug!("a caller left at once: {err}");
+        log::debug!("cannot set TCP_NODELAY on a caller's connection: {err}");
         return;
     }
     let limits = limits(cx);
     let activity = Activity::new();
     let service = service_fn(|req| {
         activity.request_began();
-        let under_way = UnderWay::begin(cx, &activity);
-        let answering = answer(cx.clone(), req, under_way);
+        let in_flight = InFlight::begin(cx, &activity);
+        let answering = answer(cx.clone(), req, in_flight);
         async move { Ok::<_, Infallible>(answering.await) }
     });
-    let io = TokioIo::new(Watched::new(stream, activity.clone()));
+    let io = TokioIo::new(ObservedStream::new(stream, activity.clone()));
     let mut connection = pin!(http1::Builder::new()
         .auto_date_header(false)
-        // A connection that comes during a planned stop carries one request.
+        // A connection accepted during a planned stop carries one request.
         .keep_alive(cx.stopping.get() == Stopping::No)
-        .max_buf_size(limits.head_bytes.max(LEAST_BUFFER))
+        .max_buf_size(limits.head_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(io, service));
     loop {
         tokio::select! {
             ended = connection.as_mut() => {
                 if let Err(err) = ended {
-                    log::debug!("a caller's connection broke: {err}");
+                    log::debug!("a caller's connection failed: {err}");
                 }
                 return;
             }
             () = cx.close_idle.notified() => connection.as_mut().graceful_shutdown(),
-            () = activity.limit_passed(&limits) => {
+            () = activity.timed_out(&limits) => {
                 if let Phase::Head(_) = activity.phase() {
                     cx.log.line(events::BAD_INPUT, format_args!("why=\"a head came too slowly\""));
                 }
@@ -101,19 +101,19 @@
 async fn answer(
     cx: Rc<Traffic>,
     req: Request<Incoming>,
-    under_way: UnderWay,
+    in_flight: InFlight,
 ) -> Response<CountedBody> {
     let mut response = request::serve(cx.clone(), req).await;
     if cx.stopping.get() != Stopping::No {
-        // The caller's next request goes to another entry.
+        // Makes the caller send its next request to another entry.
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
     }
-    under_way.until_answered(response)
+    in_flight.until_answered(response)
 }
 
-/// The limits in force when a connection comes.
+/// The limits of the current configuration.
 fn limits(cx: &Rc<Traffic>) -> CallerLimits {
     cx.deployment()
-        .map_or(FIRST_LIMITS, |deployment| deployment.limits)
+        .map_or(DEFAULT_LIMITS, |deployment| deployment.limits)
 }
--- a/crates/gateway/src/callers/under_way.rs
+++ b/crates/gateway/src/callers/in_flight.rs
@@ -1,4 +1,4 @@
-//! Counts requests between their head and the end of their answer.
+//! Counts requests from their head to the end of their response.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -12,42 +12,42 @@
 use crate::answer::{AnswerStream, BodyFault};
 use crate::traffic::Traffic;
 
-/// Counts a request until its answer went out or was dropped.
-pub struct UnderWay {
+/// Counts a request until its response was sent or dropped.
+pub struct InFlight {
     cx: Rc<Traffic>,
     activity: Rc<Activity>,
 }
 
-impl UnderWay {
-    /// A request was read.
+impl InFlight {
+    /// Starts to count a request whose head was received.
     pub fn begin(cx: &Rc<Traffic>, activity: &Rc<Activity>) -> Self {
         cx.in_flight.set(cx.in_flight.get() + 1);
-        UnderWay {
+        InFlight {
             cx: cx.clone(),
             activity: activity.clone(),
         }
     }
 
-    /// Keeps the request counted as long as its answer's body is there.
+    /// Keeps the request counted until the body of its response is dropped.
     pub fn until_answered(self, response: Response<AnswerStream>) -> Response<CountedBody> {
         response.map(|body| CountedBody {
             body,
-            _under_way: self,
+            _in_flight: self,
         })
     }
 }
 
-impl Drop for UnderWay {
+impl Drop for InFlight {
     fn drop(&mut self) {
         self.cx.in_flight.set(self.cx.in_flight.get() - 1);
         self.activity.request_ended();
     }
 }
 
-/// A body that keeps its request counted.
+/// A response body that keeps its request counted.
 pub struct CountedBody {
     body: AnswerStream,
-    _under_way: UnderWay,
+    _in_flight: InFlight,
 }
 
 impl Body for CountedBody {
--- a/crates/gateway/src/callers/listen.rs
+++ b/crates/gateway/src/callers/listen.rs
@@ -1,4 +1,4 @@
-//! The callers' listener.
+//! Listens for callers, and helpers for the other listeners.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -9,16 +9,15 @@
 use super::connection;
 use crate::traffic::Traffic;
 
-/// Pause after an accept failed, as it does when descriptors run out.
+/// Pause after a failed accept, for example when descriptors run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Connections that wait to be accepted; a dropped opening packet is sent again
-/// only after seconds.
+/// Length of the accept queue. A dropped SYN is sent again only after a second or more.
 const BACKLOG: u32 = 1_024;
-/// Part of the descriptors that callers may use; the rest is for targets,
-/// peers and the store.
+/// Share of the descriptors that callers may use; the rest is left for targets, peers and the
+/// store.
 const CALLERS_SHARE: f64 = 0.6;
 
-/// Listens at an address, also right after another process did.
+/// Listens at an address, also when an earlier process has just closed it.
 pub fn bind(addr: SocketAddr) -> std::io::Result<std::net::TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -26,36 +25,36 @@
     socket.listen(BACKLOG)?.into_std()
 }
 
-/// Accepts callers until the planned stop ends the task.
+/// Accepts callers until the returned task is aborted.
 pub fn start(cx: &Rc<Traffic>, listener: TcpListener) -> actix_rt::task::JoinHandle<()> {
     actix_rt::spawn(accept(cx.clone(), listener))
 }
 
 async fn accept(cx: Rc<Traffic>, listener: TcpListener) {
-    let most = (cx.settings().limits.descriptors as f64 * CALLERS_SHARE) as usize;
+    let max_connections = (cx.settings().limits.descriptors as f64 * CALLERS_SHARE) as usize;
     loop {
-        if cx.connections.get() >= most {
+        if cx.connections.get() >= max_connections {
             tokio::time::sleep(ACCEPT_PAUSE).await;
             continue;
         }
         match listener.accept().await {
             Ok((stream, _)) => connection::spawn(&cx, stream),
             Err(err) => {
-                log::warn!("cannot accept a connection: {err}; trying again");
+                log::warn!("cannot accept a connection: {err}; retrying");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
     }
 }
 
-/// Hands each connection on until the thread ends. A failed accept, as when
-/// descriptors run out, is tried again after a pause.
+/// Passes each accepted connection to `take` until the thread ends, and retries failed accepts
+/// after a pause. `what` names the peer in log messages.
 pub async fn accept_each(listener: TcpListener, what: &str, mut take: impl FnMut(TcpStream)) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => take(stream),
             Err(err) => {
-                log::warn!("cannot accept {what}: {err}; trying again");
+                log::warn!("cannot accept {what}: {err}; retrying");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
--- a/crates/gateway/src/callers/mod.rs
+++ b/crates/gateway/src/callers/mod.rs
@@ -1,8 +1,8 @@
-//! Callers' connections: listening, limits, and handing requests on.
+//! Connections of callers: listening, time limits, and passing requests on.
 
 mod activity;
 mod connection;
+mod in_flight;
 pub mod listen;
-mod under_way;
 
 pub use listen::start;
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,16 +1,16 @@
-//! Time since the process started, with the time for which its host was suspended.
+//! Time since the start of the process, including time in which the host was suspended.
 
 use std::time::{Duration, Instant};
 
 use hollowsail_clock::Moment;
 use hollowsail_routing::Millis;
 
-/// Start of the process; copies agree.
+/// Time of the start of the process; copies agree.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock(Moment);
 
 impl Clock {
-    /// Starts now.
+    /// A clock that starts now.
     pub fn start() -> Self {
         Clock(Moment::now())
     }
@@ -20,12 +20,13 @@
         self.millis_at(Moment::now())
     }
 
-    /// Milliseconds from the start to a moment.
+    /// Milliseconds from the start to `moment`; 0 before the start.
     pub fn millis_at(&self, moment: Moment) -> Millis {
         moment.saturating_since(self.0).as_millis() as Millis
     }
 
-    /// When a timer has to fire that is set now for so many milliseconds after the start.
+    /// The time to set a timer to, now, so that it fires `millis` milliseconds after the
+    /// start.
     pub fn timer(&self, millis: Millis) -> Instant {
         (self.0 + Duration::from_millis(millis)).timer()
     }
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -1,11 +1,10 @@
-//! Requests that end targets: who counts, who is told, and who refuses them.
+//! Requests that crash targets: counting, verdicts and refusals.
 //!
-//! An entry whose answer broke off because its target ended reports that to the one
-//! entry that counts for this request ([`Peers::owner_of`]). From the second target on
-//! that one tells all entries, which run the request apart from others; at the third all
-//! refuse it, and control writes the refusal to the platform's store, for entries that
-//! start later. An entry that serves a suspect whole acquits it everywhere. The decisions
-//! are those of [`CrashLedger`].
+//! An entry whose target crashed under a request reports this to the entry that counts crashes
+//! for the request ([`Peers::owner_of`]). From the second crash on, that entry broadcasts that
+//! the request is suspect, and all entries run it isolated. At the third all refuse it, and
+//! control writes the refusal to the store for entries that start later. An entry that
+//! completes a suspect request clears it everywhere. [`CrashLedger`] makes the decisions.
 //!
 //! [`Peers::owner_of`]: crate::peers::Peers::owner_of
 
@@ -21,38 +20,38 @@
 use tokio::sync::mpsc;
 
 use crate::answer::Refusal;
-use crate::peers::{Message, Owner, RunAgo, ToldStanding};
+use crate::peers::{CrashedRunReport, Message, Owner, VerdictNotice};
 use crate::traffic::Traffic;
 
-/// Prefix of the store's keys under which refused requests lie; the rest of a key is the
-/// request's digest.
+/// Prefix of the store keys of refused requests, followed by the request's digest.
 pub const PREFIX: &str = "hollowsail/refused/";
-/// Refusals that wait for control at most; more are told to the entries alone.
-const MOST_WAITING: usize = 64;
+/// Maximum number of refusals that wait for the control thread; further ones are only
+/// broadcast.
+const MAX_PENDING_REFUSALS: usize = 64;
 
-/// Requests that are refused, and until when, in milliseconds since the start.
+/// Refused requests, and the end of each refusal in milliseconds since the start.
 pub type Refused = BTreeMap<RequestDigest, Millis>;
 
-/// What this entry knows of requests that end targets.
+/// Verdicts on requests that crash targets.
 pub struct Crashes {
     ledger: RefCell<CrashLedger>,
-    /// To control, which writes refusals to the store.
+    /// To the control thread, which writes refusals to the store.
     to_store: mpsc::Sender<NewRefusal>,
 }
 
-/// A run that broke off since its target ended.
+/// A run that was interrupted by a crash of its target.
 #[derive(Debug, Clone, Copy)]
 pub struct BrokenRun {
-    /// When the request was sent to the target.
+    /// Time of the send to the target.
     pub sent: Moment,
-    /// When the answer broke off.
+    /// Time at which the response was interrupted.
     pub ended: Moment,
 }
 
 impl BrokenRun {
-    /// The same as peers are told it; `was_suspect` when the request was known as one.
-    fn ago(&self, was_suspect: bool) -> RunAgo {
-        RunAgo {
+    /// The run as reported to peers; `was_suspect` when the request was suspected already.
+    fn report(&self, was_suspect: bool) -> CrashedRunReport {
+        CrashedRunReport {
             was_suspect,
             sent_ms: self.sent.elapsed().as_millis() as Millis,
             ended_ms: self.ended.elapsed().as_millis() as Millis,
@@ -64,17 +63,17 @@
 #[derive(Debug, Clone, Copy)]
 pub struct NewRefusal {
     pub request: RequestDigest,
-    /// For how long.
+    /// Duration of the refusal.
     pub lasts: Duration,
 }
 
-/// Where control takes the refusals that it writes to the store.
+/// Receives the refusals that the control thread writes to the store.
 pub type ToStore = mpsc::Receiver<NewRefusal>;
 
 impl Crashes {
-    /// Nothing known yet, and the way to control.
+    /// Creates the state, with the receiver for the control thread.
     pub fn new() -> (Self, ToStore) {
-        let (to_store, rx) = mpsc::channel(MOST_WAITING);
+        let (to_store, rx) = mpsc::channel(MAX_PENDING_REFUSALS);
         let crashes = Crashes {
             ledger: RefCell::default(),
             to_store,
@@ -82,51 +81,51 @@
         (crashes, rx)
     }
 
-    /// The digest of a request, worked out only where anything is known of any request.
-    fn if_any(&self, request: impl FnOnce() -> RequestDigest) -> Option<RequestDigest> {
+    /// The digest of a request, derived only when there is a verdict on any request.
+    fn digest_if_known(&self, request: impl FnOnce() -> RequestDigest) -> Option<RequestDigest> {
         let is_empty = self.ledger.borrow().is_empty();
         (!is_empty).then(request)
     }
 
-    /// What is known of a request.
-    fn standing(&self, now: Millis, request: impl FnOnce() -> RequestDigest) -> Standing {
-        let request = self.if_any(request);
+    /// The verdict on a request.
+    fn verdict(&self, now: Millis, request: impl FnOnce() -> RequestDigest) -> Standing {
+        let request = self.digest_if_known(request);
         request.map_or(Standing::Unsuspected, |request| {
             self.ledger.borrow().standing(now, request)
         })
     }
 
-    /// Refuses a request that ends targets.
+    /// Returns an error when the request is refused because it crashes targets.
     pub fn judge(
         &self,
         cx: &Traffic,
         request: impl FnOnce() -> RequestDigest,
     ) -> Result<(), Refusal> {
         let now = cx.clock.now();
-        let Standing::Refused { until } = self.standing(now, request) else {
+        let Standing::Refused { until } = self.verdict(now, request) else {
             return Ok(());
         };
-        let detail = format!("{CRASHES_TO_REFUSE} targets ended while they ran it");
+        let detail = format!("{CRASHES_TO_REFUSE} targets crashed while running it");
         let refusal = Refusal::new(ErrorKind::EndsTargets, detail);
         Err(refusal.come_back_after(Duration::from_millis(until - now)))
     }
 
-    /// True when a request runs apart from others.
+    /// True when the request has to run isolated.
     pub fn is_suspect(&self, cx: &Traffic, request: impl FnOnce() -> RequestDigest) -> bool {
-        self.standing(cx.clock.now(), request) != Standing::Unsuspected
+        self.verdict(cx.clock.now(), request) != Standing::Unsuspected
     }
 
-    /// A target ended while it ran a request of this entry.
+    /// Reports a crash of a target under a request of this entry.
     pub fn target_ended(&self, cx: &Rc<Traffic>, request: RequestDigest, run: BrokenRun) {
-        let run = run.ago(self.is_suspect(cx, || request));
+        let run = run.report(self.is_suspect(cx, || request));
         match cx.peers.owner_of(cx, &format!("{PREFIX}{request}")) {
             Owner::Me => self.count(cx, request, run),
             Owner::Peer(link) => link.send(Message::TargetEnded { request, run }),
         }
     }
 
-    /// Counts a target that ended under a request, here where that is counted.
-    pub fn count(&self, cx: &Rc<Traffic>, request: RequestDigest, run: RunAgo) {
+    /// Counts a crash, at the entry that counts for the request.
+    pub fn count(&self, cx: &Rc<Traffic>, request: RequestDigest, run: CrashedRunReport) {
         let now = cx.clock.now();
         let run = CrashedRun {
             sent: now.saturating_sub(run.sent_ms),
@@ -135,75 +134,78 @@
         };
         let counted = self.ledger.borrow_mut().crashed(now, request, run);
         let Some(crashes) = counted else { return };
-        let standing = self.ledger.borrow().standing(now, request);
-        log_standing(cx, request, standing, format_args!("crashes={crashes}"));
+        let verdict = self.ledger.borrow().standing(now, request);
+        log_verdict(cx, request, verdict, format_args!("crashes={crashes}"));
         if crashes < CRASHES_TO_SET_APART {
             return;
         }
-        tell_all(cx, request, standing);
-        if let Standing::Refused { until } = standing {
+        broadcast(cx, request, verdict);
+        if let Standing::Refused { until } = verdict {
             let lasts = Duration::from_millis(until - now);
             let refusal = NewRefusal { request, lasts };
             if let Err(err) = self.to_store.try_send(refusal) {
-                log::warn!("the refusal of {request} isn't written to the store: {err}");
+                log::warn!(
+                    "cannot store the refusal of {request}: {err}; \
+                     entries that start later will accept it"
+                );
             }
         }
     }
 
-    /// A peer tells what is known of a request.
-    pub fn told(&self, cx: &Rc<Traffic>, request: RequestDigest, told: ToldStanding) {
+    /// A peer sent its verdict on a request.
+    pub fn on_verdict(&self, cx: &Rc<Traffic>, request: RequestDigest, notice: VerdictNotice) {
         let now = cx.clock.now();
-        let standing = match told {
-            ToldStanding::Unsuspected => Standing::Unsuspected,
-            ToldStanding::Suspect => Standing::Suspect,
-            ToldStanding::Refused { for_ms } => Standing::Refused {
+        let verdict = match notice {
+            VerdictNotice::Unsuspected => Standing::Unsuspected,
+            VerdictNotice::Suspect => Standing::Suspect,
+            VerdictNotice::Refused { for_ms } => Standing::Refused {
                 until: now + for_ms,
             },
         };
-        if self.ledger.borrow_mut().told(now, request, standing) {
-            log_standing(cx, request, standing, format_args!("from=peer"));
+        if self.ledger.borrow_mut().told(now, request, verdict) {
+            log_verdict(cx, request, verdict, format_args!("from=peer"));
         }
     }
 
-    /// Takes what the store lists, after what it listed before: a refusal that went there
-    /// is over, or was taken back.
-    pub fn take_listed(&self, cx: &Traffic, before: &Refused, listed: &Refused) {
+    /// Applies the difference between two lists of refusals in the store.
+    pub fn apply_listed(&self, cx: &Traffic, before: &Refused, listed: &Refused) {
         let now = cx.clock.now();
         let new = listed.iter();
         let new = new.filter(|(request, _)| !before.contains_key(*request));
         for (request, until) in new {
-            let standing = Standing::Refused { until: *until };
-            if self.ledger.borrow_mut().told(now, *request, standing) {
-                log_standing(cx, *request, standing, format_args!("from=store"));
+            let verdict = Standing::Refused { until: *until };
+            if self.ledger.borrow_mut().told(now, *request, verdict) {
+                log_verdict(cx, *request, verdict, format_args!("from=store"));
             }
         }
-        let gone = before
+        let removed = before
             .keys()
             .filter(|request| !listed.contains_key(*request));
-        for request in gone {
+        for request in removed {
             if self.ledger.borrow_mut().lifted(now, *request) {
-                log_standing(cx, *request, Standing::Suspect, format_args!("from=store"));
+                log_verdict(cx, *request, Standing::Suspect, format_args!("from=store"));
             }
         }
     }
 
-    /// A request was answered whole: it ends no target.
+    /// A request was completed: clears the suspicion.
     pub fn served(&self, cx: &Rc<Traffic>, request: impl FnOnce() -> RequestDigest) {
-        let Some(request) = self.if_any(request) else {
+        let Some(request) = self.digest_if_known(request) else {
             return;
         };
         if self.ledger.borrow_mut().served(request) {
-            log_standing(
+            log_verdict(
                 cx,
                 request,
                 Standing::Unsuspected,
                 format_args!("why=served"),
             );
-            tell_all(cx, request, Standing::Unsuspected);
+            broadcast(cx, request, Standing::Unsuspected);
         }
     }
 
-    /// What is refused, with the time that is left, for a peer that the store turns away.
+    /// Refused requests with the remaining time in milliseconds, for peers without access to
+    /// the store.
     pub fn refused(&self, cx: &Traffic) -> Vec<(RequestDigest, Millis)> {
         let now = cx.clock.now();
         let ledger = self.ledger.borrow();
@@ -214,27 +216,30 @@
     }
 }
 
-/// Tells every other entry what is known of a request.
-fn tell_all(cx: &Rc<Traffic>, request: RequestDigest, standing: Standing) {
-    let standing = match standing {
-        Standing::Unsuspected => ToldStanding::Unsuspected,
-        Standing::Suspect => ToldStanding::Suspect,
-        Standing::Refused { until } => ToldStanding::Refused {
+/// Sends the verdict on a request to every other entry.
+fn broadcast(cx: &Rc<Traffic>, request: RequestDigest, verdict: Standing) {
+    let verdict = match verdict {
+        Standing::Unsuspected => VerdictNotice::Unsuspected,
+        Standing::Suspect => VerdictNotice::Suspect,
+        Standing::Refused { until } => VerdictNotice::Refused {
             for_ms: until.saturating_sub(cx.clock.now()),
         },
     };
     for link in cx.peers.links_to_all(cx) {
-        link.send(Message::Standing { request, standing });
+        link.send(Message::Standing {
+            request,
+            standing: verdict,
+        });
     }
 }
 
-fn log_standing(
+fn log_verdict(
     cx: &Traffic,
     request: RequestDigest,
-    standing: Standing,
+    verdict: Standing,
     inputs: std::fmt::Arguments<'_>,
 ) {
-    let (name, for_ms) = match standing {
+    let (name, for_ms) = match verdict {
         Standing::Unsuspected => ("unsuspected", 0),
         Standing::Suspect => ("suspect", 0),
         Standing::Refused { until } => ("refused", until.saturating_sub(cx.clock.now())),
--- /dev/null
+++ b/crates/gateway/src/event_loop_lag.rs
@@ -0,0 +1,40 @@
+//! Measures the event-loop lag of the traffic thread, and detects that the host was suspended.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use hollowsail_clock::{suspended, Moment};
+use hollowsail_observe::events;
+
+use crate::traffic::Traffic;
+
+/// Interval between measurements.
+const MEASURE_INTERVAL: Duration = Duration::from_millis(50);
+
+/// Measures until the thread ends.
+pub async fn watch(cx: Rc<Traffic>) {
+    let mut suspended_earlier = suspended();
+    loop {
+        let due = Moment::now() + MEASURE_INTERVAL;
+        tokio::time::sleep_until(due.timer().into()).await;
+        let suspended_now = suspended();
+        let suspended_for = suspended_now.saturating_sub(suspended_earlier);
+        suspended_earlier = suspended_now;
+        if !suspended_for.is_zero() {
+            let fields = format_args!("suspended_ms={}", suspended_for.as_millis());
+            cx.log.line(events::HOST_WOKE, fields);
+        }
+        record_lag(&cx, due.elapsed());
+    }
+}
+
+fn record_lag(cx: &Rc<Traffic>, lag: Duration) {
+    let mut pace = cx.pace.get();
+    let changed = pace.woke(cx.clock.now(), lag.as_millis() as u64);
+    cx.pace.set(pace);
+    if changed {
+        let fields = format_args!("is_slow={} late_ms={:.1}", pace.is_slow(), pace.late_ms());
+        cx.log.line(events::PACE, fields);
+        cx.pools.hand_over(cx);
+    }
+}
--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -1,9 +1,9 @@
-//! What this entry hears from the store, for the other entries of its hall.
+//! Serves changes of the store to the other entries of the hall.
 //!
-//! Control writes here what its watches tell while this entry is one of its hall's
-//! readers ([`hollowsail_fleet::readers`]); peers ask for it with a [`FeedAsk`], which
-//! waits like the store's own watch. An entry that doesn't read, or doesn't hear from the
-//! store, says so at once, and the asker goes elsewhere.
+//! Control records here what it receives from its watches while this entry is a store follower
+//! of its hall ([`hollowsail_fleet::readers`]). Peers request changes with a [`FeedAsk`],
+//! which waits like a watch of the store. An entry that is not a follower or cannot reach the
+//! store says so at once, and the peer tries another entry.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard};
@@ -14,95 +14,94 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::Notify;
 
-/// Path that takes a [`FeedAsk`] and answers with a [`FeedAnswer`].
+/// Path that accepts a [`FeedAsk`] and returns a [`FeedAnswer`].
 pub const FEED_PATH: &str = "/hollowsail/feed";
 
-/// Changes that are kept for those that ask: some seconds of a day on which all targets
-/// of a large deployment come back.
-const MOST_CHANGES: usize = 2_000;
+/// Number of changes kept for each group of keys; covers a few seconds in which all targets of
+/// a large deployment restart.
+const MAX_CHANGES: usize = 2_000;
 
-/// Changes of targets beyond which none is told: one by one, what all targets write in the
-/// seconds in which they start would fill the link of a reader many times over. Whoever asked
-/// takes all records from some entry of its hall instead, in a fraction of the bytes.
-const MOST_TOLD: usize = 400;
+/// Maximum number of target changes in one response. Beyond it the requester fetches all
+/// records from an entry of its hall, which takes a fraction of the bytes.
+const MAX_SENT_CHANGES: usize = 400;
 
-/// Keys of the store that are followed together.
+/// A group of keys in the store that is followed as one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Keys {
-    /// The operators' own.
+    /// Keys written by operators.
     Operators,
-    /// The targets' records.
+    /// Target records.
     Targets,
-    /// The entries' records.
+    /// Records of the entries.
     Entries,
 }
 
 impl Keys {
-    /// All of them.
+    /// Number of groups.
     pub const COUNT: usize = 3;
 
-    /// Its position among all.
+    /// Index of the group.
     pub fn position(self) -> usize {
         self as usize
     }
 }
 
-/// An entry asks for what changed.
+/// Request for changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FeedAsk {
     pub keys: Keys,
-    /// It knows all changes up to this position.
+    /// Position up to which the requester has all changes.
     pub after: Position,
-    /// Longest time for an answer, in milliseconds.
+    /// Longest time to wait for a change, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// What it is told.
+/// Response to a [`FeedAsk`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FeedAnswer {
     Changed {
         changes: Changes,
-        /// The store was away until lately: a record that has gone may come back.
+        /// The store was unreachable until recently: deleted records may be written again.
         is_unsettled: bool,
     },
-    /// All that is there; the changes after that position aren't known here any more.
+    /// All items; the log does not reach back to the requested position.
     Whole {
         range: Range,
         /// As above.
         is_unsettled: bool,
     },
-    /// Nothing changed in the time.
+    /// Nothing changed within the waiting time.
     NothingNew,
-    /// The changes after that position aren't known here any more, or are too many to be told,
-    /// and the whole isn't told here.
+    /// The log does not reach back to the requested position or has too many changes since,
+    /// and all items are not sent for these keys.
     Unknown,
-    /// This entry doesn't hear from the store itself.
+    /// This entry is not a store follower or cannot reach the store.
     NotReading,
 }
 
-/// The feed of some keys.
+/// Feed of one group of keys.
 struct Feed {
     log: WatchLog<Change>,
-    /// All that is there by the log, for keys whose lists are short.
+    /// All items at the end of the log, for groups that are short.
     items: Option<BTreeMap<String, Item>>,
-    /// This entry follows them at the store, for others too.
-    is_read: bool,
+    /// True while this entry follows the keys on behalf of its hall.
+    is_followed: bool,
 }
 
-/// Whether the store answers this entry.
+/// Reachability of the store.
 #[derive(Debug, Clone, Copy)]
-struct StoreSeen {
+struct StoreState {
     is_away: bool,
-    /// It owes this entry an answer; also before its first one.
+    /// A reply of the store is overdue; also true before the first reply.
     is_silent: bool,
-    /// Until when a record that has gone may come back.
+    /// Until when deleted records may be written again.
     unsettled_until: Option<Instant>,
 }
 
-/// All feeds; control writes, traffic answers.
+/// All feeds; written by the control thread, read by the traffic thread.
 pub struct Feeds {
     feeds: [Mutex<Feed>; Keys::COUNT],
-    store: Mutex<StoreSeen>,
+    store: Mutex<StoreState>,
     changed: Notify,
 }
 
@@ -110,14 +109,14 @@
     fn default() -> Self {
         let feed = || {
             Mutex::new(Feed {
-                log: WatchLog::new(MOST_CHANGES),
+                log: WatchLog::new(MAX_CHANGES),
                 items: None,
-                is_read: false,
+                is_followed: false,
             })
         };
         Feeds {
             feeds: [feed(), feed(), feed()],
-            store: Mutex::new(StoreSeen {
+            store: Mutex::new(StoreState {
                 is_away: false,
                 is_silent: true,
                 unsettled_until: None,
@@ -131,21 +130,23 @@
     fn feed(&self, keys: Keys) -> MutexGuard<'_, Feed> {
         self.feeds[keys.position()]
             .lock()
-            .expect("no holder panics")
+            .expect("no thread panics while holding the lock")
     }
 
-    fn store(&self) -> MutexGuard<'_, StoreSeen> {
-        self.store.lock().expect("no holder panics")
+    fn store(&self) -> MutexGuard<'_, StoreState> {
+        self.store
+            .lock()
+            .expect("no thread panics while holding the lock")
     }
 
-    /// All keys were read as of a position.
+    /// Restarts the log after all keys were read at a position.
     pub fn begin(&self, keys: Keys, at: Position) {
         let mut feed = self.feed(keys);
         feed.log.begin(at);
         feed.items = None;
     }
 
-    /// The same, with what was read.
+    /// Restarts the log with the items that were read.
     pub fn begin_with(&self, keys: Keys, range: &Range) {
         let items = range.items.iter();
         let items = items.map(|item| (item.key.clone(), item.clone()));
@@ -156,7 +157,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Changes came, from wherever.
+    /// Appends changes from the store or from a peer.
     pub fn extend(&self, keys: Keys, changes: &Changes) {
         let each = changes.changes.iter();
         let each = each.map(|change| (change.at(), change.clone()));
@@ -172,28 +173,28 @@
         self.changed.notify_waiters();
     }
 
-    /// This entry follows keys at the store for others from now on, or no longer.
-    pub fn set_read(&self, keys: Keys, is_read: bool) {
-        let was_read = std::mem::replace(&mut self.feed(keys).is_read, is_read);
-        if was_read != is_read {
+    /// Sets whether this entry follows the keys on behalf of its hall.
+    pub fn set_read(&self, keys: Keys, is_followed: bool) {
+        let was_read = std::mem::replace(&mut self.feed(keys).is_followed, is_followed);
+        if was_read != is_followed {
             self.changed.notify_waiters();
         }
     }
 
-    /// The store stopped answering.
+    /// The store became unreachable.
     pub fn store_away(&self) {
         self.store().is_away = true;
         self.changed.notify_waiters();
     }
 
-    /// The store answers again; records may come back for a while.
+    /// The store is reachable again; deleted records may be written again for a time.
     pub fn store_back(&self, unsettled_for: Duration) {
         let mut store = self.store();
         store.is_away = false;
         store.unsettled_until = Some(Instant::now() + unsettled_for);
     }
 
-    /// The store answered a call at once, or owes an answer.
+    /// Sets whether a reply of the store is overdue.
     pub fn set_silent(&self, is_silent: bool) {
         let was_silent = std::mem::replace(&mut self.store().is_silent, is_silent);
         if was_silent != is_silent {
@@ -201,20 +202,24 @@
         }
     }
 
-    /// True when this entry follows any keys for others.
+    /// True when this entry follows any keys on behalf of its hall.
     pub fn is_read(&self) -> bool {
         let feeds = self.feeds.iter();
-        let mut read = feeds.map(|feed| feed.lock().expect("no holder panics").is_read);
-        read.any(|is_read| is_read)
+        let mut followed = feeds.map(|feed| {
+            feed.lock()
+                .expect("no thread panics while holding the lock")
+                .is_followed
+        });
+        followed.any(|is_followed| is_followed)
     }
 
-    /// Answers a peer, once there is something to tell or its time is over.
-    pub async fn answer(&self, ask: &FeedAsk) -> FeedAnswer {
-        let until = Instant::now() + Duration::from_millis(ask.wait_ms);
+    /// Answers a peer as soon as there are changes, or after its waiting time.
+    pub async fn answer(&self, request: &FeedAsk) -> FeedAnswer {
+        let until = Instant::now() + Duration::from_millis(request.wait_ms);
         loop {
             let mut changed = std::pin::pin!(self.changed.notified());
             changed.as_mut().enable();
-            if let Some(answer) = self.look(ask) {
+            if let Some(answer) = self.try_answer(request) {
                 return answer;
             }
             if tokio::time::timeout_at(until.into(), changed)
@@ -226,16 +231,16 @@
         }
     }
 
-    /// What there is to tell now, if anything.
-    fn look(&self, ask: &FeedAsk) -> Option<FeedAnswer> {
+    /// The response that can be given now, if any.
+    fn try_answer(&self, request: &FeedAsk) -> Option<FeedAnswer> {
         let store = *self.store();
-        let feed = self.feed(ask.keys);
-        if !feed.is_read || store.is_away || store.is_silent {
+        let feed = self.feed(request.keys);
+        if !feed.is_followed || store.is_away || store.is_silent {
             return Some(FeedAnswer::NotReading);
         }
         let unsettled_until = store.unsettled_until;
         let is_unsettled = unsettled_until.is_some_and(|until| Instant::now() < until);
-        match feed.log.since(ask.after) {
+        match feed.log.since(request.after) {
             Since::NothingNew => None,
             Since::Unknown => Some(match &feed.items {
                 Some(items) => FeedAnswer::Whole {
@@ -248,7 +253,7 @@
                 None => FeedAnswer::Unknown,
             }),
             Since::Changes { changes, .. }
-                if ask.keys == Keys::Targets && changes.len() > MOST_TOLD =>
+                if request.keys == Keys::Targets && changes.len() > MAX_SENT_CHANGES =>
             {
                 Some(FeedAnswer::Unknown)
             }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,14 +1,13 @@
-//! The daemon that serves callers on the users' platform.
+//! The gateway: the daemon that serves callers.
 //!
-//! Two threads. Control ([`control`]) watches the platform's store and
-//! publishes a [`view::View`] whenever the configuration or the targets change.
-//! Traffic ([`traffic`]) takes connections from callers ([`callers`]) and walks
-//! each request through its life ([`request`]): admission, the stages before it
-//! ([`pools`], shared with the other entries through [`peers`]), and its sends
-//! to targets ([`hollowsail_targets`]), of which [`placement`] names one for a generation.
-//! A request reads one view at each decision; nothing here waits for control.
+//! It has two threads. The control thread ([`control`]) watches the store and publishes a
+//! [`view::View`] whenever the configuration or the targets change. The traffic thread
+//! ([`traffic`]) accepts connections from callers ([`callers`]) and runs each request
+//! ([`request`]): admission, the stages before it ([`pools`], shared with the other entries
+//! through [`peers`]), and its sends to targets ([`hollowsail_targets`]), which [`placement`]
+//! selects for generations. The traffic thread never waits for control.
 //!
-//! The platform's names live in `hollowsail-platform`; the decisions in
+//! Names of the platform are defined in `hollowsail-platform`; decisions are made in
 //! `hollowsail-routing`, `hollowsail-stages` and `hollowsail-fleet`.
 
 mod answer;
@@ -16,12 +15,12 @@
 mod clock;
 mod control;
 mod crashes;
+mod event_loop_lag;
 mod feed;
 mod log;
 mod mechanisms;
 mod metrics;
 mod owned_since;
-mod pace;
 mod peers;
 mod placement;
 mod pools;
--- a/crates/gateway/src/log.rs
+++ b/crates/gateway/src/log.rs
@@ -1,17 +1,16 @@
-//! Log lines of this daemon: the shared catalogue, with the host's name.
+//! Structured log lines of the gateway, with the host's name.
 
 use std::fmt::Arguments;
 
 use hollowsail_observe::events::{emit, Event};
 
-/// Writes lines in the name of one host.
+/// Writes log lines for one host.
 #[derive(Debug, Clone)]
 pub struct Log {
     host: String,
 }
 
 impl Log {
-    /// Lines of this host.
     pub fn new(host: &str) -> Self {
         Log {
             host: host.to_string(),
--- a/crates/gateway/src/mechanisms.rs
+++ b/crates/gateway/src/mechanisms.rs
@@ -1,38 +1,38 @@
-//! What the gateway does that it could do without, so that each can be measured.
+//! Optional mechanisms of the gateway, which can be turned off for measurements.
 //!
-//! All are on; `hollowsail gateway --without NAME` takes one out. That is for
-//! measurements only: no promise depends on any of them, but callers are served worse.
+//! All are on by default; `hollowsail gateway --without NAME` turns one off. Results stay
+//! correct without any of them, but latency and throughput suffer.
 
 use snafu::{OptionExt, Snafu};
 
-/// Something that the gateway could do without.
+/// An optional mechanism.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mechanism {
     /// One queue for the workers of a stage service, owned by one entry.
     SharedQueues,
-    /// One desk for a group of engines.
+    /// One scheduler for a group of engines.
     Desk,
-    /// Generations go to engines that keep the shared parts of their prompts.
+    /// Generations go to engines that have cached their prefix.
     Affinity,
-    /// Requests that would come too late are refused before anything runs.
+    /// Requests that would miss their deadline are refused before anything runs.
     Forecast,
-    /// Pieces of a request's stage go together.
+    /// Pieces of one stage of a request are sent together.
     Groups,
-    /// Results are made in the hall where they are used.
+    /// Results are produced in the hall that uses them.
     Halls,
-    /// Stages that only the request needs start together.
+    /// Final stages of a request start together.
     JointFinals,
-    /// Results of a request are given up at the first event, not at the stream's end.
+    /// Results are released at the first event of the stream instead of its end.
     FirstEvent,
-    /// The time kept for the engine goes by the prompt's length.
+    /// The time reserved for the engine depends on the length of the prompt.
     ReadingTimes,
-    /// The route's priority decides among organisations of equal priority.
+    /// The route's priority orders requests of organisations with equal priority.
     RoutePriority,
-    /// Calls that last too long are made elsewhere, too.
+    /// Calls that take too long are repeated at another target.
     Overdue,
 }
 
-/// Each with its name on the command line.
+/// Command-line names of the mechanisms.
 const NAMES: [(Mechanism, &str); 11] = [
     (Mechanism::SharedQueues, "shared-queues"),
     (Mechanism::Desk, "desk"),
@@ -47,7 +47,7 @@
     (Mechanism::Overdue, "overdue"),
 ];
 
-/// No mechanism has this name.
+/// No mechanism has the given name.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 #[snafu(display("--without {name}: no such mechanism; give one of {}", known_names()))]
 pub struct UnknownMechanism {
@@ -61,11 +61,11 @@
 /// The mechanisms that are on.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Mechanisms {
-    without: Vec<Mechanism>,
+    disabled: Vec<Mechanism>,
 }
 
 impl Mechanisms {
-    /// All but those of some names.
+    /// All mechanisms except the named ones.
     pub fn without(names: &[String]) -> Result<Self, UnknownMechanism> {
         let named = |name: &String| {
             let known = NAMES.iter().find(|(_, known)| known == name);
@@ -73,12 +73,12 @@
                 .map(|(mechanism, _)| *mechanism)
                 .context(UnknownMechanismSnafu { name })
         };
-        let without = names.iter().map(named).collect::<Result<_, _>>()?;
-        Ok(Mechanisms { without })
+        let disabled = names.iter().map(named).collect::<Result<_, _>>()?;
+        Ok(Mechanisms { disabled })
     }
 
-    /// True when one is on.
+    /// True when the mechanism is on.
     pub fn has(&self, mechanism: Mechanism) -> bool {
-        !self.without.contains(&mechanism)
+        !self.disabled.contains(&mechanism)
     }
 }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,5 +1,5 @@
-//! Counters and latency histograms, and the address where they are scraped.
-//! Labels name services, kinds and outcomes; never payload, callers or requests.
+//! Counters and latency histograms, and the listener for scrapes. Labels contain services,
+//! kinds and outcomes, but no payload, callers or requests.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -22,20 +22,23 @@
 
 use crate::callers::listen::{accept_each, bind};
 
-/// Serves scrapes until the thread ends. Requests go on without metrics when the
-/// address is taken; the log says so.
+/// Serves scrapes until the thread ends. When the address cannot be bound, requests are served
+/// without metrics and a warning is logged.
 pub fn serve(addr: SocketAddr) -> Option<SocketAddr> {
     recorder::install();
     let listener = match bind(addr).and_then(TcpListener::from_std) {
         Ok(listener) => listener,
         Err(err) => {
-            log::warn!("no metrics: cannot listen at {addr}: {err}; free the port");
+            log::warn!(
+                "cannot listen for metrics at {addr}: {err}; \
+                 serving without metrics; free the port and restart"
+            );
             return None;
         }
     };
-    let at = listener.local_addr().ok();
+    let bound = listener.local_addr().ok();
     actix_rt::spawn(accept(listener));
-    at
+    bound
 }
 
 async fn accept(listener: TcpListener) {
@@ -44,7 +47,7 @@
         let serving = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
         actix_rt::spawn(async move {
             if let Err(err) = serving.await {
-                log::debug!("a scrape's connection broke: {err}");
+                log::debug!("a scrape's connection failed: {err}");
             }
         });
     })
@@ -60,7 +63,7 @@
     Response::new(Full::from(recorder::render()))
 }
 
-/// A request was answered, or its caller left (`kind` "caller_left").
+/// Counts a request that was answered, or whose caller disconnected (`kind` "caller_left").
 pub fn count_request(service: &str, kind: &'static str, status: u16, took: Duration) {
     let service = service.to_string();
     counter!("hollowsail_requests_total", "service" => service.clone(), "kind" => kind,
@@ -69,13 +72,13 @@
     histogram!("hollowsail_request_seconds", "service" => service).record(took);
 }
 
-/// An attempt at a target ended; `outcome` is what it proves.
+/// Counts an attempt at a target with its outcome.
 pub fn count_attempt(service: &str, outcome: &'static str) {
     counter!("hollowsail_attempts_total", "service" => service.to_string(), "outcome" => outcome)
         .increment(1);
 }
 
-/// A call with pieces of a stage ended.
+/// Counts a call with pieces of a stage.
 pub fn count_call(service: &str, outcome: &'static str, pieces: usize, took: Duration) {
     let service = service.to_string();
     counter!("hollowsail_stage_calls_total", "service" => service.clone(), "outcome" => outcome)
@@ -85,12 +88,12 @@
     histogram!("hollowsail_stage_call_seconds", "service" => service).record(took);
 }
 
-/// A result of a queue was given up so long after its call was made.
+/// Records how long a result was retained after its call.
 pub fn record_stay(queue: &str, stayed: Duration) {
     histogram!("hollowsail_result_stay_seconds", "queue" => queue.to_string()).record(stayed);
 }
 
-/// What came of a request at a target of one of the two versions of a roll-out.
+/// Counts the outcome of a request at one of the two versions of a roll-out.
 pub fn count_rollout_answer(service: &str, arm: Arm, outcome: Outcome) {
     let version = match arm {
         Arm::Old => "old",
@@ -107,24 +110,25 @@
     .increment(1);
 }
 
-/// The store stopped answering.
+/// Counts an outage of the store.
 pub fn count_store_lost() {
     counter!("hollowsail_store_lost_total").increment(1);
 }
 
-/// Names of odd words that are counted apart; others share one counter.
-const MOST_ODD_WORDS: usize = 32;
+/// Maximum number of header names with a counter of their own; further ones share "other".
+const MAX_HEADER_LABELS: usize = 32;
 
 thread_local! {
-    /// The names of odd words seen so far.
-    static ODD_WORDS: RefCell<BTreeSet<String>> = const { RefCell::new(BTreeSet::new()) };
+    /// Header names with a counter of their own.
+    static HEADER_LABELS: RefCell<BTreeSet<String>> = const { RefCell::new(BTreeSet::new()) };
 }
 
-/// A word of a target that can't be read or isn't known.
-pub fn count_odd_word(word: &str) {
-    let is_named = ODD_WORDS.with_borrow_mut(|known| {
-        known.contains(word) || known.len() < MOST_ODD_WORDS && known.insert(word.to_string())
+/// Counts a malformed or unrecognised header of a target.
+pub fn count_unusable_header(header: &str) {
+    let has_label = HEADER_LABELS.with_borrow_mut(|known| {
+        known.contains(header)
+            || known.len() < MAX_HEADER_LABELS && known.insert(header.to_string())
     });
-    let word = if is_named { word } else { "other" };
-    counter!("hollowsail_odd_words_total", "word" => word.to_string()).increment(1);
+    let label = if has_label { header } else { "other" };
+    counter!("hollowsail_odd_words_total", "word" => label.to_string()).increment(1);
 }
--- a/crates/gateway/src/owned_since.rs
+++ b/crates/gateway/src/owned_since.rs
@@ -1,8 +1,7 @@
-//! For how long this entry has been the owner of something, by its own view.
+//! Tracks how long this entry has owned a key.
 //!
-//! Entries may see owners differently for some seconds after one comes, goes or falls
-//! silent. Whoever keeps to a limit for all entries uses a part of it meanwhile
-//! ([`LimitShare`]).
+//! Entries may disagree on owners for some seconds after a change of membership. During this
+//! time a recent owner uses only a part of limits that hold for all entries ([`LimitShare`]).
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,42 +11,42 @@
 use crate::peers::Owner;
 use crate::traffic::Traffic;
 
-/// Since when this entry has been the owner of one thing.
+/// Ownership age of one key.
 #[derive(Debug, Default)]
 pub struct OwnedSince {
-    known: Cell<Known>,
+    state: Cell<Ownership>,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-enum Known {
-    /// Nobody looked yet.
+enum Ownership {
+    /// Not determined yet.
     #[default]
-    Nothing,
+    Undetermined,
     Since(Millis),
-    NotMine,
+    NotOwned,
 }
 
 impl OwnedSince {
-    /// Which share of limits this entry uses as far as it owns `what`, by who owns that now.
-    /// Called whenever the entries change, so that no change of the owner is missed. An
-    /// entry that still serves what it doesn't own any more uses the share of a new owner.
-    pub fn limit_share(&self, cx: &Rc<Traffic>, what: &str) -> LimitShare {
+    /// The share of limits that this entry may use as the owner of `key`. Has to be called on
+    /// each change of the entries, so that no change of the owner is missed. An entry that
+    /// still serves a key it no longer owns uses the share of a recent owner.
+    pub fn limit_share(&self, cx: &Rc<Traffic>, key: &str) -> LimitShare {
         if !cx.peers.is_listed() {
             return LimitShare::unlisted();
         }
         let now = cx.clock.now();
-        let is_mine = matches!(cx.peers.owner_of(cx, what), Owner::Me);
-        let known = match self.known.get() {
-            _ if !is_mine => Known::NotMine,
-            // It has been this entry since the entries last changed, if not longer.
-            Known::Nothing => Known::Since(cx.peers.unchanged_since()),
-            Known::NotMine => Known::Since(now),
+        let is_owner = matches!(cx.peers.owner_of(cx, key), Owner::Me);
+        let state = match self.state.get() {
+            _ if !is_owner => Ownership::NotOwned,
+            // It has owned the key at least since the last change.
+            Ownership::Undetermined => Ownership::Since(cx.peers.ownership_stable_since()),
+            Ownership::NotOwned => Ownership::Since(now),
             since => since,
         };
-        self.known.set(known);
-        let owned_ms = match known {
-            Known::Since(since) => now.saturating_sub(since),
-            Known::Nothing | Known::NotMine => 0,
+        self.state.set(state);
+        let owned_ms = match state {
+            Ownership::Since(since) => now.saturating_sub(since),
+            Ownership::Undetermined | Ownership::NotOwned => 0,
         };
         LimitShare::owned_for(owned_ms)
     }
--- a/crates/gateway/src/peers/link.rs
+++ b/crates/gateway/src/peers/link.rs
@@ -1,9 +1,8 @@
-//! Messages to one peer.
+//! Connection to one peer for messages.
 //!
-//! One envelope is under way at a time; what is to be sent meanwhile goes into
-//! the next one. While answers are awaited from the peer, an empty envelope
-//! goes out now and then: a peer that takes none in time is lost, and everything
-//! that waits for it is told.
+//! One envelope is sent at a time; messages queued meanwhile go into the next one. While
+//! replies are pending, empty envelopes probe a silent peer. A peer that does not accept an
+//! envelope in time is considered lost, and everything that waits for it fails.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -25,57 +24,57 @@
 use crate::target_words;
 use crate::traffic::Traffic;
 
-/// Longest time for a peer to take an envelope. A healthy one needs a few
-/// milliseconds, a slowed one some dozens.
-const TAKEN_WITHIN: Duration = Duration::from_millis(350);
-/// Silence after which a peer that owes an answer is asked whether it lives.
-const ASK_AFTER: Duration = Duration::from_millis(200);
-/// Longest record of another run that is read, in bytes: some names and an address.
-const MOST_RECORD_BYTES: usize = 4 << 10;
-/// Time in which messages gather before they are sent.
-const GATHER: Duration = Duration::from_millis(1);
+/// Timeout for a peer to accept an envelope.
+const DELIVERY_TIMEOUT: Duration = Duration::from_millis(350);
+/// Silence after which a peer with pending replies is probed.
+const PROBE_AFTER: Duration = Duration::from_millis(200);
+/// Largest accepted record of another run, in bytes.
+const MAX_RECORD_BYTES: usize = 4 << 10;
+/// Time in which messages are batched before they are sent.
+const BATCH_DELAY: Duration = Duration::from_millis(1);
 
-/// The peer took no envelope in time; what it was asked may be done or not.
+/// The peer did not accept an envelope in time; messages sent to it may have been handled or
+/// not.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LinkLost;
 
-/// How a piece at a peer ended.
-pub type RemoteEnd = Result<PieceEnd, LinkLost>;
+/// Outcome of a piece at a peer.
+pub type RemoteOutcome = Result<PieceEnd, LinkLost>;
 
 #[derive(Debug, Snafu)]
 enum LinkError {
     #[snafu(display("{source}"))]
     Send { source: SendError },
-    #[snafu(display("no envelope taken within {} ms", TAKEN_WITHIN.as_millis()))]
-    Silent,
-    #[snafu(display("envelope refused with status {status}"))]
+    #[snafu(display("envelope not accepted within {} ms", DELIVERY_TIMEOUT.as_millis()))]
+    TimedOut,
+    #[snafu(display("envelope rejected with status {status}"))]
     Refused { status: StatusCode },
-    /// Another run of the same host answered.
-    #[snafu(display("another run is at {}", by.addr))]
+    /// Another run of the same host responded.
+    #[snafu(display("replaced by another run at {}", by.addr))]
     Replaced { by: Box<PeerRecord> },
 }
 
-/// Messages to one run of one peer.
+/// Connection to one run of one peer.
 pub struct Link {
     cx: Weak<Traffic>,
     pub peer: PeerRecord,
     pool: Rc<Pool>,
     outbox: RefCell<Vec<Message>>,
-    awaited: RefCell<HashMap<PieceId, oneshot::Sender<RemoteEnd>>>,
-    awaited_places: RefCell<HashMap<PlacementId, mpsc::UnboundedSender<PlaceAnswer>>>,
+    awaited: RefCell<HashMap<PieceId, oneshot::Sender<RemoteOutcome>>>,
+    awaited_placements: RefCell<HashMap<PlacementId, mpsc::UnboundedSender<PlaceAnswer>>>,
     is_sending: Cell<bool>,
-    is_asking: Cell<bool>,
-    heard: Cell<Instant>,
+    is_probing: Cell<bool>,
+    last_received: Cell<Instant>,
     is_closed: Cell<bool>,
 }
 
-/// Tells the peer when a piece is no longer waited for.
-struct Awaited<'a> {
+/// Cancels a piece at the peer when dropped before its outcome.
+struct PendingPiece<'a> {
     link: &'a Rc<Link>,
     id: PieceId,
 }
 
-impl Drop for Awaited<'_> {
+impl Drop for PendingPiece<'_> {
     fn drop(&mut self) {
         if self.link.awaited.borrow_mut().remove(&self.id).is_some() {
             self.link.send(Message::GiveUp(self.id));
@@ -83,31 +82,31 @@
     }
 }
 
-/// A demand at a peer's desk, until it is dropped.
-pub struct PlaceAsk {
+/// A pending placement request; dropping it discards further replies.
+pub struct PlacementRequest {
     link: Rc<Link>,
     id: PlacementId,
     answers: mpsc::UnboundedReceiver<PlaceAnswer>,
 }
 
-impl PlaceAsk {
-    /// The desk's next answer; `None` when its entry is lost.
+impl PlacementRequest {
+    /// The scheduler's next reply; `None` when the peer is lost.
     pub async fn next(&mut self) -> Option<PlaceAnswer> {
         self.answers.recv().await
     }
 }
 
-impl Drop for PlaceAsk {
+impl Drop for PlacementRequest {
     fn drop(&mut self) {
-        self.link.awaited_places.borrow_mut().remove(&self.id);
+        self.link.awaited_placements.borrow_mut().remove(&self.id);
     }
 }
 
 impl Link {
-    /// A link without a connection yet.
+    /// Creates the link; it connects with the first message.
     pub fn new(cx: &Rc<Traffic>, peer: PeerRecord) -> Rc<Self> {
         let rules = PoolRules {
-            dial_within: TAKEN_WITHIN,
+            dial_within: DELIVERY_TIMEOUT,
             max_idle: 1,
             idle_for: Duration::from_secs(60),
         };
@@ -117,18 +116,18 @@
             peer,
             outbox: RefCell::default(),
             awaited: RefCell::default(),
-            awaited_places: RefCell::default(),
+            awaited_placements: RefCell::default(),
             is_sending: Cell::new(false),
-            is_asking: Cell::new(false),
-            heard: Cell::new(Instant::now()),
+            is_probing: Cell::new(false),
+            last_received: Cell::new(Instant::now()),
             is_closed: Cell::new(false),
         })
     }
 
-    /// Sends a message, with others that come at the same time.
+    /// Queues a message; messages queued at the same time are batched.
     pub fn send(self: &Rc<Self>, message: Message) {
         if self.is_closed.get() {
-            self.undelivered(message);
+            self.handle_undelivered(message);
             return;
         }
         self.outbox.borrow_mut().push(message);
@@ -137,116 +136,115 @@
         }
     }
 
-    /// Has a piece made by the peer. Dropping the future gives it up.
-    pub async fn make(self: &Rc<Self>, piece: MakePiece) -> RemoteEnd {
+    /// Has the peer produce a piece. Dropping the future cancels the piece.
+    pub async fn make(self: &Rc<Self>, piece: MakePiece) -> RemoteOutcome {
         if self.is_closed.get() {
             return Err(LinkLost);
         }
         let id = piece.id;
         let (tx, rx) = oneshot::channel();
         self.awaited.borrow_mut().insert(id, tx);
-        let _awaited = Awaited { link: self, id };
+        let _awaited = PendingPiece { link: self, id };
         self.send(Message::Make(Box::new(piece)));
-        self.ask_while_awaiting();
+        self.probe_while_awaiting();
         rx.await.unwrap_or(Err(LinkLost))
     }
 
-    /// Asks a desk of the peer for a place. The asker bounds the time.
+    /// Requests a placement from a scheduler of the peer. The caller bounds the time.
     pub fn place(
         self: &Rc<Self>,
         id: PlacementId,
         desk: String,
         demand: Demand<Incarnation>,
-    ) -> PlaceAsk {
+    ) -> PlacementRequest {
         let (tx, answers) = mpsc::unbounded_channel();
         if !self.is_closed.get() {
-            self.awaited_places.borrow_mut().insert(id, tx);
+            self.awaited_placements.borrow_mut().insert(id, tx);
             let demand = Box::new(demand);
             self.send(Message::Place { id, desk, demand });
         }
-        PlaceAsk {
+        PlacementRequest {
             link: self.clone(),
             id,
             answers,
         }
     }
 
-    /// The peer's desk answered.
-    pub fn placed(self: &Rc<Self>, id: PlacementId, answer: PlaceAnswer) {
+    /// A reply of the peer's scheduler was received.
+    pub fn on_placement_reply(self: &Rc<Self>, id: PlacementId, answer: PlaceAnswer) {
         if answer == PlaceAnswer::Waits {
-            let awaited = self.awaited_places.borrow();
-            // An asker that chose by itself meanwhile told the desk so.
+            let awaited = self.awaited_placements.borrow();
+            // Absent when the requester chose an engine itself; the scheduler is notified then.
             awaited
                 .get(&id)
                 .into_iter()
                 .for_each(|tx| drop(tx.send(answer.clone())));
             drop(awaited);
-            self.ask_while_awaiting();
-        } else if let Some(tx) = self.awaited_places.borrow_mut().remove(&id) {
-            let _chose = tx.send(answer);
+            self.probe_while_awaiting();
+        } else if let Some(tx) = self.awaited_placements.borrow_mut().remove(&id) {
+            let _sent = tx.send(answer);
         }
     }
 
-    /// The peer told how a piece ended. False when nobody waits for it.
-    pub fn ended(&self, id: PieceId, end: PieceEnd) -> bool {
+    /// The outcome of a piece was received. False when no requester waits for it.
+    pub fn complete_piece(&self, id: PieceId, end: PieceEnd) -> bool {
         let waiter = self.awaited.borrow_mut().remove(&id);
         waiter.is_some_and(|tx| tx.send(Ok(end)).is_ok())
     }
 
-    /// The peer was heard.
-    pub fn heard(&self) {
-        self.heard.set(Instant::now());
+    /// Records that the peer sent something.
+    pub fn record_activity(&self) {
+        self.last_received.set(Instant::now());
     }
 
-    /// True while the peer owes an answer.
+    /// True while replies from the peer are pending.
     fn is_awaiting(&self) -> bool {
-        !self.awaited.borrow().is_empty() || !self.awaited_places.borrow().is_empty()
+        !self.awaited.borrow().is_empty() || !self.awaited_placements.borrow().is_empty()
     }
 
-    /// True when nothing is awaited from the peer, and nothing is on its way.
+    /// True when no replies are pending and no messages are being sent.
     pub fn is_idle(&self) -> bool {
         !self.is_awaiting() && self.outbox.borrow().is_empty() && !self.is_sending.get()
     }
 
-    /// Ends the link; everything that waits is told.
+    /// Closes the link; everything that waits for the peer fails.
     pub fn close(&self) {
         self.is_closed.set(true);
         let unsent = std::mem::take(&mut *self.outbox.borrow_mut());
         unsent
             .into_iter()
-            .for_each(|message| self.undelivered(message));
-        self.awaited_places.borrow_mut().clear();
+            .for_each(|message| self.handle_undelivered(message));
+        self.awaited_placements.borrow_mut().clear();
         let waiting = std::mem::take(&mut *self.awaited.borrow_mut());
         for tx in waiting.into_values() {
-            // A waiter that left needs no answer.
-            let _left = tx.send(Err(LinkLost));
+            // The receiver may be gone.
+            let _sent = tx.send(Err(LinkLost));
         }
     }
 
-    /// A message that the peer didn't get. Results that it was to give up are
-    /// given up here, and what it was to count is counted here; all else is of no use
-    /// without the peer.
-    fn undelivered(&self, message: Message) {
+    /// Handles a message that the peer did not receive: releases of results, crash counts and
+    /// broadcasts are done by this entry; all others are dropped.
+    fn handle_undelivered(&self, message: Message) {
         let Some(cx) = self.cx.upgrade() else { return };
         match message {
             Message::Free(spent) => cx.pools.free(&cx, &spent),
             Message::TargetEnded { request, run } => cx.crashes.count(&cx, request, run),
-            // Whoever was to tell the others can't: this entry does.
+            // The coordinator is unreachable: this entry broadcasts.
             Message::TargetLeaves {
                 target,
                 tell_others: true,
-            } => target_words::told_leaving(&cx, &target, true),
+            } => target_words::on_draining_notice(&cx, &target, true),
             Message::TargetLimit {
                 target,
                 tell_others: true,
                 ..
-            } => target_words::tell_limit_to_all(&cx, &target),
+            } => target_words::broadcast_limit(&cx, &target),
             _ => {}
         }
     }
 
     async fn send_all(self: Rc<Self>) {
-        tokio::time::sleep(GATHER).await;
+        tokio::time::sleep(BATCH_DELAY).await;
         loop {
             let messages = std::mem::take(&mut *self.outbox.borrow_mut());
             if messages.is_empty() {
@@ -259,8 +257,7 @@
         }
     }
 
-    /// Delivers an envelope; on failure closes the link. True when it was
-    /// taken.
+    /// Delivers an envelope and closes the link on failure. True when it was accepted.
     async fn deliver(&self, messages: Vec<Message>) -> bool {
         let Some(cx) = self.cx.upgrade() else {
             return false;
@@ -271,31 +268,31 @@
             is_slow: cx.pace.get().is_slow(),
             messages,
         };
-        let result = match tokio::time::timeout(TAKEN_WITHIN, self.post(&envelope)).await {
+        let result = match tokio::time::timeout(DELIVERY_TIMEOUT, self.post(&envelope)).await {
             Ok(result) => result,
-            Err(_) => Err(LinkError::Silent),
+            Err(_) => Err(LinkError::TimedOut),
         };
         let Err(err) = result else {
-            self.heard();
-            cx.peers.answered(self.peer.id);
+            self.record_activity();
+            cx.peers.clear_suspicion(self.peer.id);
             return true;
         };
         match err {
-            LinkError::Replaced { by } => cx.peers.heard(&cx, &by),
+            LinkError::Replaced { by } => cx.peers.observed(&cx, &by),
             err => cx.peers.suspect(&cx, &self.peer, &err.to_string()),
         }
         self.close();
         let unsent = envelope.messages.into_iter();
-        unsent.for_each(|message| self.undelivered(message));
+        unsent.for_each(|message| self.handle_undelivered(message));
         false
     }
 
     async fn post(&self, envelope: &Envelope) -> Result<(), LinkError> {
         let req = messages::request(PATH, envelope);
-        // A run that is another one tells who it is; else there is no body.
+        // Another run responds with its record; any other response has no body.
         let answer = self
             .pool
-            .call(req, MOST_RECORD_BYTES)
+            .call(req, MAX_RECORD_BYTES)
             .await
             .map_err(|source| LinkError::Send { source })?;
         match answer.head.status {
@@ -305,8 +302,7 @@
         }
     }
 
-    /// What an answer of another run means: only one of the same host takes the
-    /// peer's place.
+    /// The error for a response of another run. Only a run on the same host replaces the peer.
     fn replaced_by(&self, body: Option<Bytes>) -> LinkError {
         let record = body.and_then(|body| rmp_serde::from_slice::<PeerRecord>(&body).ok());
         match record.filter(|record| record.host == self.peer.host) {
@@ -317,21 +313,21 @@
         }
     }
 
-    /// Asks a silent peer whether it lives, as long as it owes answers.
-    fn ask_while_awaiting(self: &Rc<Self>) {
-        if self.is_asking.replace(true) {
+    /// Probes a silent peer while replies are pending.
+    fn probe_while_awaiting(self: &Rc<Self>) {
+        if self.is_probing.replace(true) {
             return;
         }
         let link = self.clone();
         actix_rt::spawn(async move {
             while link.is_awaiting() && !link.is_closed.get() {
-                tokio::time::sleep(ASK_AFTER).await;
-                let is_silent = link.heard.get().elapsed() >= ASK_AFTER;
+                tokio::time::sleep(PROBE_AFTER).await;
+                let is_silent = link.last_received.get().elapsed() >= PROBE_AFTER;
                 if is_silent && !link.is_sending.get() && !link.deliver(Vec::new()).await {
                     break;
                 }
             }
-            link.is_asking.set(false);
+            link.is_probing.set(false);
         });
     }
 }
--- a/crates/gateway/src/peers/messages.rs
+++ b/crates/gateway/src/peers/messages.rs
@@ -1,4 +1,7 @@
-//! What entries tell each other: batches of messages in MessagePack.
+//! Messages between entries, encoded in MessagePack.
+//!
+//! Messages are batched in envelopes, one connection for each pair of entries. Fields and
+//! variants are encoded by position and by name, so their order and names are fixed.
 
 use std::net::SocketAddr;
 
@@ -14,208 +17,210 @@
 use super::record::{PeerId, PeerRecord};
 use crate::rollouts::{RolloutReport, ToldPhase};
 
-/// Path that takes an [`Envelope`].
+/// Path that accepts an [`Envelope`].
 pub const PATH: &str = "/hollowsail/messages";
 
-/// A request to a peer, which reads its body in MessagePack.
+/// A request to a peer with a body in MessagePack.
 pub fn request(path: &str, body: &impl Serialize) -> Request<Full<Bytes>> {
-    let body = rmp_serde::to_vec(body).expect("what peers are told always encodes");
+    let body = rmp_serde::to_vec(body).expect("messages to peers always encode");
     Request::post(path)
         .header(http::header::HOST, "peer")
         .body(Full::new(Bytes::from(body)))
         .expect("the path is valid")
 }
 
-/// Some messages from one entry to another.
+/// A batch of messages from one entry to another.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Envelope {
     pub from: PeerRecord,
-    /// The run that is meant; another at the same address refuses.
+    /// The run that is addressed; any other run at the address rejects the envelope.
     pub to: PeerId,
-    /// The sender doesn't keep up with its work: it should own nothing for now.
+    /// The sender's event loop lags: it should own nothing for now.
     pub is_slow: bool,
     pub messages: Vec<Message>,
 }
 
-/// A piece that a requester waits for; the number is the requester's own.
+/// Identifies a piece; the number is local to the requester.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PieceId(pub u64);
 
-/// A placement that a requester asked for; the number is the requester's own.
+/// Identifies a placement; the number is local to the requester.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PlacementId(pub u64);
 
-/// How a placement goes.
+/// Progress of a placed generation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PlacementStep {
-    /// Its first event came.
+    /// The first event was received: the prefill is done.
     PromptRead,
-    /// It ended whole.
+    /// The answer is complete.
     Whole,
-    /// It ended without a good answer, and the engine is to blame.
+    /// It ended without a valid answer because of the engine.
     Failed,
-    /// It was given up.
+    /// It was abandoned.
     Left,
 }
 
-/// What a desk says to a demand.
+/// A scheduler's reply to a placement request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PlaceAnswer {
-    /// It goes there.
+    /// The engine to send to.
     There(Incarnation),
-    /// No engine is open; another answer follows within its time to wait.
+    /// No engine is available; another reply follows within the demand's waiting time.
     Waits,
-    /// No engine opens in its time; its caller may come back after so many milliseconds.
+    /// No engine becomes available in time; the caller may retry after `return_ms`
+    /// milliseconds.
     Full { return_ms: u64 },
     /// No engine is known that may serve it.
     Nowhere,
 }
 
-/// What an answer said of its target's limit, by how long ago, in milliseconds.
+/// A target's reported limit; times are ages in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct ToldLimit {
-    /// Requests a second; `None` when it named no limit.
+pub struct LimitNotice {
+    /// Requests per second; `None` when the target reported no limit.
     pub per_s: Option<f64>,
-    /// The request was sent that it answers.
+    /// Age of the request whose answer carried the report.
     pub asked_ms: u64,
-    /// It came.
+    /// Age of the answer.
     pub heard_ms: u64,
 }
 
-/// One message.
+/// A message between entries.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Message {
-    /// To the owner of a queue: have a piece made.
+    /// To the owner of a queue: produce a piece.
     Make(Box<MakePiece>),
-    /// To the owner: the requester waits no longer.
+    /// To the owner: the piece is no longer needed.
     GiveUp(PieceId),
-    /// To the requester: how its piece ended.
+    /// To the requester: the outcome of its piece.
     Ended(PieceId, PieceEnd),
-    /// To a queue's new owner: what its workers are known to have.
+    /// To the new owner of a queue: the known state of its workers.
     TakeOver {
         queue: String,
         workers: Vec<WorkerAtHandOver>,
     },
-    /// To a desk's owner: where does this generation go?
+    /// To the owner of a scheduler: place a generation.
     Place {
         id: PlacementId,
         desk: String,
         demand: Box<Demand<Incarnation>>,
     },
-    /// To the requester: where it goes.
+    /// To the requester: the reply to its placement request.
     Placed(PlacementId, PlaceAnswer),
-    /// To the desk's owner: how a placement goes.
+    /// To the owner of a scheduler: progress of a placed generation.
     PlacementStep(PlacementId, PlacementStep),
-    /// To the requester: what a queue has to do.
+    /// To the requester: the load of a queue.
     Load { queue: String, load: QueueLoad },
-    /// To the owner: a result that nobody needs any more.
+    /// To the owner: a result that is no longer needed.
     Free(SpentResult),
-    /// A target says that it leaves. To the one entry that tells all others, or from it.
+    /// A target is draining. Sent to the entry that coordinates broadcasts for the target, or
+    /// from it.
     TargetLeaves {
         target: Incarnation,
         tell_others: bool,
     },
-    /// What a target says of how much it takes. To the one entry that tells all others,
-    /// from it, or to the owner of a desk.
+    /// A target's reported limit. Sent to the entry that coordinates broadcasts for the
+    /// target, from it, or to the owner of a scheduler.
     TargetLimit {
         target: Incarnation,
-        limit: ToldLimit,
+        limit: LimitNotice,
         tell_others: bool,
     },
-    /// To the entry that counts for a request: a target ended while it ran it.
-    TargetEnded { request: RequestDigest, run: RunAgo },
-    /// To every entry: what is known of a request that ended targets.
+    /// To the entry that counts crashes for a request: a target crashed while running it.
+    TargetEnded {
+        request: RequestDigest,
+        run: CrashedRunReport,
+    },
+    /// To every entry: the verdict on a request that crashed targets.
     Standing {
         request: RequestDigest,
-        standing: ToldStanding,
+        standing: VerdictNotice,
     },
-    /// To the leader of a roll-out: what this entry has seen of it.
+    /// To the leader of a roll-out: the evidence that this entry has collected.
     RolloutReport(Box<RolloutReport>),
     /// From the leader of a roll-out: the phase in force.
     RolloutPhase(ToldPhase),
 }
 
-/// A run that broke off since its target ended, by how long ago, in milliseconds.
+/// A run that was interrupted by a crash of its target; times are ages in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RunAgo {
-    /// The request was sent to the target.
+pub struct CrashedRunReport {
+    /// Age of the send to the target.
     pub sent_ms: u64,
-    /// Its answer broke off.
+    /// Age of the interruption.
     pub ended_ms: u64,
-    /// Whoever ran it knew the request as a suspect.
+    /// The request was already suspected when it was sent.
     pub was_suspect: bool,
 }
 
-/// What is known of a request that ended targets; a moment of one entry is none of
-/// another's, so times are told as what is left of them.
+/// Verdict on a request that crashed targets. Clocks of entries differ, so times are sent as
+/// durations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ToldStanding {
-    /// It was answered whole.
+pub enum VerdictNotice {
+    /// It was answered in full.
     Unsuspected,
-    /// It runs apart from others.
+    /// It runs isolated from others.
     Suspect,
-    /// It is refused for so many milliseconds.
+    /// It is refused for `for_ms` milliseconds.
     Refused { for_ms: u64 },
 }
 
-/// How a piece ended at its queue's owner.
+/// Outcome of a piece at its queue's owner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PieceEnd {
     Made(Made),
     Failed(PieceFailure),
-    /// Not begun; the queue has another owner now.
+    /// Not started; the queue has another owner now.
     Moved,
 }
 
-/// What a worker has as its queue passes to another owner.
+/// State of a worker when its queue passes to another owner.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WorkerAtHandOver {
     pub target: Incarnation,
     pub state: WorkerState,
 }
 
-/// A result that nobody needs any more.
+/// A result that is no longer needed.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct SpentResult {
-    /// The queue that had it made.
     pub queue: String,
     /// Its maker.
     pub target: Incarnation,
     pub handle: String,
 }
 
-/// A piece to be made by a queue's owner.
+/// A piece for the owner of a queue to produce.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MakePiece {
     pub id: PieceId,
-    /// Name of the queue.
     pub queue: String,
     pub piece: Piece,
-    /// What makes its request the same as another one.
+    /// Digest of the request's content, equal for requests with the same content.
     pub request: RequestDigest,
     /// 0 is the most urgent.
     pub priority: u8,
-    /// Time until it should be made, in milliseconds; negative when late.
+    /// Time until the piece is due, in milliseconds; negative when overdue.
     pub due_in_ms: i64,
-    /// Time until it is of no use, in milliseconds.
+    /// Time until the piece is no longer needed, in milliseconds.
     pub expires_in_ms: u64,
-    /// About the size of its result.
+    /// Estimated size of its result.
     pub result_bytes: u64,
-    /// The results that it starts from are large.
+    /// Its inputs are large.
     pub holds_inputs: bool,
-    /// Data hall where the result is wanted.
+    /// Data hall that uses the result.
     pub hall: Option<String>,
-    /// Data halls in which it may be made; `None` where that is all.
+    /// Data halls in which it may be produced; `None` for all.
     pub halls: Option<Vec<String>>,
 }
 
-/// A result that was made.
+/// A completed result.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Made {
     pub handle: String,
-    /// Its maker.
     pub target: Incarnation,
     pub addr: SocketAddr,
-    /// Data hall of its maker.
+    /// Data hall of the target.
     pub hall: String,
 }
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -1,11 +1,10 @@
-//! The other entries: who they are, who owns what, and messages to them.
+//! Membership of the fleet of entries, ownership, and messages between entries.
 //!
-//! Every entry keeps a record of itself in the platform's store under a lease;
-//! control follows them and puts them into the view. Rendezvous hashing over
-//! the live ones of the larger hosts gives each queue of a stage service one
-//! owner without any agreement; two views may name two owners for a while,
-//! which costs time and nothing else. An owner that doesn't answer is passed
-//! over.
+//! Every entry keeps a record of itself in the platform's store under a lease; the control
+//! thread follows the records and publishes them in the view. Rendezvous hashing over the live
+//! entries on the larger hosts gives each queue one owner without coordination. Views may
+//! disagree on an owner for a short time, which costs latency but not correctness. Owners that
+//! do not respond are skipped.
 
 mod link;
 mod listen;
@@ -28,72 +27,68 @@
 pub use link::Link;
 pub use listen::start;
 pub use messages::{
-    request, Made, MakePiece, Message, PieceEnd, PieceId, PlaceAnswer, PlacementId, PlacementStep,
-    RunAgo, SpentResult, ToldLimit, ToldStanding, WorkerAtHandOver,
+    request, CrashedRunReport, LimitNotice, Made, MakePiece, Message, PieceEnd, PieceId,
+    PlaceAnswer, PlacementId, PlacementStep, SpentResult, VerdictNotice, WorkerAtHandOver,
 };
 pub use record::{capacity_of, PeerId, PeerRecord, PREFIX};
 pub use state::{RecordAt, RecordsAsk, RecordsAt, StateAnswer, StateAsk, RECORDS_PATH, STATE_PATH};
 
-/// How long a peer that didn't answer is passed over at first, in milliseconds. Long
-/// enough that a frozen process costs few requests, short against a restart.
+/// How long a peer that did not respond owns nothing after its first failure, in milliseconds.
 const SUSPECT_MS: Millis = 1_500;
-/// The same at most, in milliseconds: the time doubles as long as the peer doesn't
-/// answer, since the record of one that is gone for good stays for a while.
-const MOST_SUSPECT_MS: Millis = 6_000;
-
-/// How long after its first list of entries this entry decides on owners, in
-/// milliseconds. In a fleet that starts together, those on the list are the few that
-/// were faster; at the second look most are there. Without it a queue has dozens of owners
-/// in the first second, whose calls hold up each other's.
+/// Upper bound of the suspicion time, in milliseconds. The time doubles with each further
+/// failure, since the record of a dead peer expires only with its lease.
+const MAX_SUSPECT_MS: Millis = 6_000;
+
+/// How long after its first list of entries this entry starts to use owners, in milliseconds.
+/// When a fleet starts together the first list is incomplete, and queues would have many
+/// owners at once.
 const SETTLE_MS: Millis = 200;
-/// The same without a list, after the start: the store may be away. Where hundreds start
-/// together a list takes half a second, and those that wait no longer own what others own.
+/// The same when no list was received, counted from the start, in milliseconds.
 const SETTLE_UNLISTED_MS: Millis = 1_500;
 
-/// Who owns something.
+/// Owner of a key.
 pub enum Owner {
     /// This entry.
     Me,
     Peer(Rc<Link>),
 }
 
-/// How long a peer that says it is slow owns nothing, from when it last said so, in
-/// milliseconds.
-const SLOW_MS: Millis = 3_000;
+/// How long a peer that reported itself as lagging owns nothing, in milliseconds.
+const LAGGING_MS: Millis = 3_000;
 
-/// A peer that didn't answer.
+/// A peer that did not respond.
 #[derive(Debug, Clone, Copy)]
 struct Suspicion {
-    /// It owns nothing before this.
+    /// End of the time in which it owns nothing.
     until: Millis,
-    /// How long that is, from when it was last found silent.
-    lasts: Millis,
+    /// Length of that time, from the last failure, in milliseconds.
+    duration_ms: Millis,
 }
 
 impl Suspicion {
-    /// What follows a silence at `now`, after what is remembered of the ones before.
+    /// The suspicion after a failure at `now`, given the previous one.
     fn after(before: Option<Suspicion>, now: Millis) -> Self {
-        let lasts = match before {
-            // Several messages may find the same silence.
-            Some(before) if now < before.until => before.lasts,
-            Some(before) if now < before.until + MOST_SUSPECT_MS => {
-                (before.lasts * 2).min(MOST_SUSPECT_MS)
+        let duration_ms = match before {
+            // Several messages may detect the same failure.
+            Some(before) if now < before.until => before.duration_ms,
+            Some(before) if now < before.until + MAX_SUSPECT_MS => {
+                (before.duration_ms * 2).min(MAX_SUSPECT_MS)
             }
             _ => SUSPECT_MS,
         };
         Suspicion {
-            until: now + lasts,
-            lasts,
+            until: now + duration_ms,
+            duration_ms,
         }
     }
 
-    /// True once the next silence counts as the first.
-    fn is_forgotten(&self, now: Millis) -> bool {
-        now >= self.until + MOST_SUSPECT_MS
+    /// True when the next failure counts as the first.
+    fn is_expired(&self, now: Millis) -> bool {
+        now >= self.until + MAX_SUSPECT_MS
     }
 }
 
-/// Entries that are live now and weren't before.
+/// Entries in `live` that are not in `before`.
 fn new_peers<'a>(before: &[PeerRecord], live: &'a [PeerRecord]) -> Vec<&'a PeerRecord> {
     let known: HashSet<PeerId> = before.iter().map(|peer| peer.id).collect();
     let new = live.iter().filter(|peer| !known.contains(&peer.id));
@@ -102,17 +97,17 @@
 
 /// Live peers and the links to them.
 pub struct Peers {
-    /// Every live entry, this one included.
+    /// Every live entry, including this one.
     live: RefCell<Vec<PeerRecord>>,
     runs: RefCell<LiveRuns<PeerId, PeerRecord>>,
     links: RefCell<HashMap<PeerId, Rc<Link>>>,
     suspects: RefCell<HashMap<PeerId, Suspicion>>,
-    /// Until when peers that said so count as slow.
-    slow: RefCell<HashMap<PeerId, Millis>>,
-    /// When the first list of entries came.
+    /// Peers that reported themselves as lagging, and until when that applies.
+    lagging: RefCell<HashMap<PeerId, Millis>>,
+    /// When the first list of entries was received.
     first_listed: Cell<Option<Millis>>,
-    /// Since when what decides on owners is as it is, by what is known now.
-    unchanged_since: Cell<Millis>,
+    /// When the inputs of the ownership decision last changed, or will next change.
+    ownership_stable_since: Cell<Millis>,
 }
 
 impl Default for Peers {
@@ -122,42 +117,41 @@
             runs: RefCell::new(LiveRuns::new(|peer: &PeerRecord| peer.id)),
             links: RefCell::default(),
             suspects: RefCell::default(),
-            slow: RefCell::default(),
+            lagging: RefCell::default(),
             first_listed: Cell::new(None),
-            unchanged_since: Cell::new(0),
+            ownership_stable_since: Cell::new(0),
         }
     }
 }
 
 impl Peers {
-    /// Takes the live entries of a new view.
-    pub fn take(&self, cx: &Rc<Traffic>, listed: &[PeerRecord]) {
+    /// Updates the live entries from a new view.
+    pub fn update(&self, cx: &Rc<Traffic>, listed: &[PeerRecord]) {
         if self.first_listed.get().is_none() && !listed.is_empty() {
             self.first_listed.set(Some(cx.clock.now()));
         }
         self.runs.borrow_mut().take_listed(listed.to_vec());
-        self.take_live(cx);
+        self.update_live(cx);
     }
 
-    /// Takes the live runs as they are known now. An entry that isn't live any more may
-    /// be about to stop and still answer for what it was asked: its link goes once
-    /// nothing is awaited there, or when it doesn't answer. A new run at a host means
-    /// that the run before is dead.
-    fn take_live(&self, cx: &Rc<Traffic>) {
+    /// Updates the live entries and closes links that are no longer needed. An entry that is
+    /// not live may still answer pending requests, so its link stays until it is idle. A new
+    /// run on a host means that the previous run is dead.
+    fn update_live(&self, cx: &Rc<Traffic>) {
         let live = self.runs.borrow().live();
         let before = std::mem::replace(&mut *self.live.borrow_mut(), live.clone());
         let now = cx.clock.now();
         let mut suspects = self.suspects.borrow_mut();
-        suspects.retain(|_, suspicion| !suspicion.is_forgotten(now));
+        suspects.retain(|_, suspicion| !suspicion.is_expired(now));
         drop(suspects);
         let new_peers = new_peers(&before, &live);
         if before.len() != live.len() || !new_peers.is_empty() {
-            self.changes_at(now);
+            self.ownership_changes_at(now);
         }
         let ids: HashSet<PeerId> = live.iter().map(|peer| peer.id).collect();
         let is_live = |id: &PeerId| ids.contains(id);
-        let is_over = |link: &Link| !is_live(&link.peer.id) && link.is_idle();
-        self.links.borrow_mut().retain(|_, link| !is_over(link));
+        let is_unneeded = |link: &Link| !is_live(&link.peer.id) && link.is_idle();
+        self.links.borrow_mut().retain(|_, link| !is_unneeded(link));
         let hosts: HashSet<&str> = new_peers.iter().map(|peer| peer.host.as_str()).collect();
         for old in before {
             // Each host has one live run.
@@ -168,25 +162,25 @@
                 cx.placements.requester_lost(cx, old.id);
             }
         }
-        target_words::tell_new_peers(cx, &new_peers);
+        target_words::send_limits_to_new_peers(cx, &new_peers);
     }
 
-    /// What decides on owners changes now, or at a moment to come.
-    fn changes_at(&self, at: Millis) {
-        let known = self.unchanged_since.get();
-        self.unchanged_since.set(known.max(at));
+    /// Records that the inputs of the ownership decision change at `at`.
+    fn ownership_changes_at(&self, at: Millis) {
+        let known = self.ownership_stable_since.get();
+        self.ownership_stable_since.set(known.max(at));
     }
 
-    /// Since when what decides on owners is as it is now; a moment to come where a change
-    /// of it is known already.
-    pub fn unchanged_since(&self) -> Millis {
-        self.unchanged_since.get()
+    /// Time of the last known change of the inputs of the ownership decision; in the future
+    /// when a change is scheduled, such as the end of a suspicion.
+    pub fn ownership_stable_since(&self) -> Millis {
+        self.ownership_stable_since.get()
     }
 
-    /// An entry was heard. A run of a host that is known by the run before takes
-    /// that one's place at once; what was asked of it goes to the new run.
-    pub fn heard(&self, cx: &Rc<Traffic>, peer: &PeerRecord) {
-        let Some(old) = self.run_before(peer) else {
+    /// A message from an entry was received. A new run of a known host replaces the previous
+    /// run at once.
+    pub fn observed(&self, cx: &Rc<Traffic>, peer: &PeerRecord) {
+        let Some(old) = self.previous_run(peer) else {
             return;
         };
         cx.log.line(
@@ -197,35 +191,34 @@
             ),
         );
         self.runs.borrow_mut().heard(old, peer.clone());
-        self.take_live(cx);
+        self.update_live(cx);
     }
 
-    /// The run that a peer's host is known by, if it is another one.
-    fn run_before(&self, peer: &PeerRecord) -> Option<PeerId> {
+    /// The known run on the peer's host, if it is another run.
+    fn previous_run(&self, peer: &PeerRecord) -> Option<PeerId> {
         let live = self.live.borrow();
         let known = live.iter().find(|known| known.host == peer.host)?;
         (known.id != peer.id).then_some(known.id)
     }
 
-    /// True once a list of entries came.
+    /// True once a list of entries was received.
     pub fn is_listed(&self) -> bool {
         self.first_listed.get().is_some()
     }
 
-    /// Live entries, this one included; at least 1.
+    /// Number of live entries, including this one; at least 1.
     pub fn count(&self) -> usize {
         self.live.borrow().len().max(1)
     }
 
-    /// Every other live entry.
     pub fn others(&self, cx: &Traffic) -> Vec<PeerId> {
         let live = self.live.borrow();
         let others = live.iter().map(|peer| peer.id);
         others.filter(|id| *id != cx.me.id).collect()
     }
 
-    /// Where this entry stands among all, from 0 to 1, in an order that all share;
-    /// `None` before it knows the others.
+    /// Position of this entry among all entries, from 0 to 1, in an order that all share;
+    /// `None` before the first list of entries.
     pub fn place(&self, cx: &Traffic) -> Option<f64> {
         self.first_listed.get()?;
         let live = self.live.borrow();
@@ -233,39 +226,39 @@
         Some(before as f64 / live.len().max(1) as f64)
     }
 
-    /// Waits until enough entries are known to decide on owners; only an entry that
-    /// has just started waits.
+    /// Waits until enough entries are known to decide on owners. Returns at once except
+    /// shortly after the start.
     pub async fn settled(&self, cx: &Traffic) {
         let listed = self.first_listed.get();
-        let at = listed.map_or(SETTLE_UNLISTED_MS, |listed| listed + SETTLE_MS);
-        if cx.clock.now() < at {
-            tokio::time::sleep_until(cx.clock.timer(at).into()).await;
+        let settled_at = listed.map_or(SETTLE_UNLISTED_MS, |listed| listed + SETTLE_MS);
+        if cx.clock.now() < settled_at {
+            tokio::time::sleep_until(cx.clock.timer(settled_at).into()).await;
         }
     }
 
-    /// The owner of `what` among the entries that aren't under suspicion.
-    pub fn owner_of(&self, cx: &Rc<Traffic>, what: &str) -> Owner {
-        self.with_owner(cx, what, &[], |owner| match owner {
+    /// The owner of a key among the entries that are not suspected.
+    pub fn owner_of(&self, cx: &Rc<Traffic>, key: &str) -> Owner {
+        self.with_owner_of(cx, key, &[], |owner| match owner {
             Some(peer) if peer.id != cx.me.id => Owner::Peer(self.link_to(cx, peer)),
             _ => Owner::Me,
         })
     }
 
-    /// True when this entry would be the owner of `what` without some others.
-    pub fn is_mine_without(&self, cx: &Traffic, what: &str, others: &[PeerId]) -> bool {
-        self.with_owner(cx, what, others, |owner| {
+    /// True when this entry would own the key if `others` did not exist.
+    pub fn is_mine_without(&self, cx: &Traffic, key: &str, others: &[PeerId]) -> bool {
+        self.with_owner_of(cx, key, others, |owner| {
             owner.is_some_and(|peer| peer.id == cx.me.id)
         })
     }
 
-    /// Looks at the owner of `what` among the entries that aren't under suspicion, and not
-    /// among some others; `None` where no entry is left.
-    fn with_owner<T>(
+    /// Passes the owner of a key to `read`. Suspected entries and those in `without` are
+    /// skipped; `None` when no entry is left.
+    fn with_owner_of<T>(
         &self,
         cx: &Traffic,
-        what: &str,
+        key: &str,
         without: &[PeerId],
-        look: impl FnOnce(Option<&PeerRecord>) -> T,
+        read: impl FnOnce(Option<&PeerRecord>) -> T,
     ) -> T {
         let now = cx.clock.now();
         let suspects = self.suspects.borrow();
@@ -275,20 +268,20 @@
             .filter(|peer| suspects.get(&peer.id).is_none_or(|s| s.until <= now))
             .filter(|peer| !without.contains(&peer.id))
             .collect();
-        let slow = self.slow.borrow();
-        let is_slow = |peer: &PeerRecord| match peer.id == cx.me.id {
+        let lagging = self.lagging.borrow();
+        let is_lagging = |peer: &PeerRecord| match peer.id == cx.me.id {
             true => cx.pace.get().is_slow(),
-            false => slow.get(&peer.id).is_some_and(|until| *until > now),
+            false => lagging.get(&peer.id).is_some_and(|until| *until > now),
         };
         let candidates = usable.iter().map(|peer| Candidate {
             host: &peer.host,
             capacity: peer.capacity,
-            is_slow: is_slow(peer),
+            is_slow: is_lagging(peer),
         });
-        look(ownership::owner(what, candidates).map(|at| usable[at]))
+        read(ownership::owner(key, candidates).map(|index| usable[index]))
     }
 
-    /// The link to a peer, made when there is none.
+    /// The link to a peer, created when there is none.
     pub fn link_to(&self, cx: &Rc<Traffic>, peer: &PeerRecord) -> Rc<Link> {
         let mut links = self.links.borrow_mut();
         let link = links
@@ -297,44 +290,44 @@
         link.clone()
     }
 
-    /// A link to each other live entry.
+    /// Links to all other live entries.
     pub fn links_to_all(&self, cx: &Rc<Traffic>) -> Vec<Rc<Link>> {
         let live = self.live.borrow();
         let others = live.iter().filter(|peer| peer.id != cx.me.id);
         others.map(|peer| self.link_to(cx, peer)).collect()
     }
 
-    /// A peer says whether it keeps up with its work.
-    pub fn told_pace(&self, cx: &Rc<Traffic>, peer: PeerId, is_slow: bool) {
-        let mut slow = self.slow.borrow_mut();
-        let was_slow = match is_slow {
-            true => slow.insert(peer, cx.clock.now() + SLOW_MS).is_some(),
-            false => slow.remove(&peer).is_some(),
+    /// Takes a peer's report on whether its event loop lags.
+    pub fn set_lagging(&self, cx: &Rc<Traffic>, peer: PeerId, is_lagging: bool) {
+        let mut lagging = self.lagging.borrow_mut();
+        let was_lagging = match is_lagging {
+            true => lagging.insert(peer, cx.clock.now() + LAGGING_MS).is_some(),
+            false => lagging.remove(&peer).is_some(),
         };
-        drop(slow);
-        if was_slow != is_slow {
-            self.changes_at(cx.clock.now());
+        drop(lagging);
+        if was_lagging != is_lagging {
+            self.ownership_changes_at(cx.clock.now());
             cx.pools.hand_over(cx);
         }
     }
 
-    /// A peer took a message: what was suspected of it is over.
-    pub fn answered(&self, peer: PeerId) {
+    /// A peer accepted a message: clears its suspicion.
+    pub fn clear_suspicion(&self, peer: PeerId) {
         self.suspects.borrow_mut().remove(&peer);
     }
 
-    /// A peer didn't answer: it owns nothing for a while.
+    /// A peer did not respond: it owns nothing until the suspicion ends.
     pub fn suspect(&self, cx: &Rc<Traffic>, peer: &PeerRecord, why: &str) {
         let before = self.suspects.borrow().get(&peer.id).copied();
         let suspicion = Suspicion::after(before, cx.clock.now());
-        self.changes_at(suspicion.until);
+        self.ownership_changes_at(suspicion.until);
         self.suspects.borrow_mut().insert(peer.id, suspicion);
         self.links.borrow_mut().remove(&peer.id);
         cx.log.line(
             events::MEMBER,
             format_args!(
                 "peer={} state=suspect for_ms={} why=\"{why}\"",
-                peer.host, suspicion.lasts
+                peer.host, suspicion.duration_ms
             ),
         );
         cx.pools.requester_lost(peer.id);
--- a/crates/gateway/src/peers/record.rs
+++ b/crates/gateway/src/peers/record.rs
@@ -1,46 +1,46 @@
-//! What an entry tells of itself in the store.
+//! Record of an entry in the store.
 
 use std::net::SocketAddr;
 
 use hollowsail_platform::settings::HostLimits;
 use serde::{Deserialize, Serialize};
 
-/// Prefix of the records' keys in the store.
+/// Key prefix of the records in the store.
 pub const PREFIX: &str = "hollowsail/peers/";
 
-/// One run of one entry; random, never reused.
+/// Identifies one run of an entry's process; random, never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct PeerId(pub u64);
 
-/// One entry.
+/// An entry as other entries see it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerRecord {
     pub id: PeerId,
-    /// Name of its host.
+    /// Host name.
     pub host: String,
-    /// Where it takes peers' messages.
+    /// Address for messages from peers.
     pub addr: SocketAddr,
-    /// Its data hall.
+    /// Data hall.
     pub hall: String,
-    /// What its host can move for others, in megabits a second: see
-    /// [`capacity_of`]. Absent in records of earlier builds.
+    /// Capacity of its host in megabits per second; see [`capacity_of`]. Absent in records of
+    /// older versions.
     #[serde(default)]
     pub capacity: u32,
 }
 
-/// Megabits a second that a whole core is taken to move between peers: an
-/// estimate, since only hosts of very unlike sizes are told apart by it.
+/// Estimated throughput of one processor core, in megabits per second.
 const CORE_MBPS: f64 = 800.0;
 
-/// What a host can move for others: its link, or what its processor manages.
+/// Throughput of a host for its peers, in megabits per second: the lower of its link's and its
+/// processor's.
 pub fn capacity_of(host: &HostLimits) -> u32 {
     let processor = host.core_share * f64::from(host.cores) * CORE_MBPS;
     host.link_mbps.min(processor).max(1.0) as u32
 }
 
 impl PeerRecord {
-    /// Key of the record. It names the run, so that the record of a run before
-    /// goes with its own lease and is never written over.
+    /// Key of the record. It contains the run, so that the record of a previous run expires
+    /// with its own lease and is never overwritten.
     pub fn key(&self) -> String {
         format!("{PREFIX}{}-{:016x}", self.host, self.id.0)
     }
--- a/crates/gateway/src/peers/state.rs
+++ b/crates/gateway/src/peers/state.rs
@@ -1,8 +1,8 @@
-//! What an entry that the store doesn't answer asks its peers for.
+//! Requests to peers for state, used by an entry that cannot reach the store.
 //!
-//! The question says what the asker has; the answer holds what is newer, and
-//! nothing when the answering entry doesn't hear from the store either: two
-//! entries that know nothing new must not confirm each other.
+//! The request contains the versions that the entry has; the response contains only newer
+//! state. An entry that cannot reach the store itself returns no records, so that two such
+//! entries do not confirm each other's stale state.
 
 use hollowsail_fleet::{EmptiedHalls, Position};
 use hollowsail_platform::targets::TargetRecord;
@@ -13,58 +13,57 @@
 use crate::rollouts::PlacedOrder;
 use crate::view::KnownRecords;
 
-/// Path that takes a [`StateAsk`] and answers with a [`StateAnswer`].
+/// Path that accepts a [`StateAsk`] and returns a [`StateAnswer`].
 pub const STATE_PATH: &str = "/hollowsail/state";
 
-/// What the asker has.
+/// Versions of the state that the requesting entry has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateAsk {
     /// Version of its configuration, if it has one.
     pub configuration: Option<u64>,
-    /// Position of the store up to which it knows the targets' records.
+    /// Store position of its target records.
     pub records: Position,
-    /// Position of the store up to which it knows the emptied halls.
+    /// Store position of its evacuated halls.
     pub emptied: Position,
 }
 
-/// What is newer.
+/// State that is newer than the request's versions.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct StateAnswer {
-    /// The configuration as it lies in the store.
+    /// The configuration, in the bytes stored in the store.
     #[serde(with = "serde_bytes")]
     pub configuration: Option<Vec<u8>>,
-    /// The emptied halls, if the answering entry knows more.
+    /// Evacuated halls, if newer.
     pub emptied: Option<EmptiedHalls>,
-    /// All targets, if the answering entry hears from the store and knows more.
+    /// All target records, if newer and the responding entry receives updates from the store.
     pub records: Option<RecordsAt>,
-    /// Live entries as the answering one knows them.
+    /// Live entries known to the responding entry.
     pub peers: Vec<PeerRecord>,
-    /// Requests that are refused since they end targets, and for how much longer, in
-    /// milliseconds.
+    /// Refused requests that crash targets, and the remaining time in milliseconds.
     pub refused: Vec<(RequestDigest, u64)>,
-    /// Orders to roll versions out.
+    /// Rollout orders.
     pub orders: Vec<PlacedOrder>,
 }
 
-/// All targets' records as of a position of the store.
+/// All target records at a store position.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordsAt {
     pub at: Position,
     pub records: Vec<RecordAt>,
 }
 
-/// Path that takes a [`RecordsAsk`] and answers with an `Option` of [`RecordsAt`]: `None`
-/// from an entry that doesn't hear from the store, or has nothing newer.
+/// Path that accepts a [`RecordsAsk`] and returns an `Option` of [`RecordsAt`]: `None` when
+/// the entry receives no updates from the store or has nothing newer.
 pub const RECORDS_PATH: &str = "/hollowsail/records";
 
-/// An entry asks for all targets' records.
+/// Request for all target records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordsAsk {
-    /// Position of the store up to which it knows them.
+    /// Store position of the records that the requesting entry has.
     pub after: Position,
 }
 
-/// A target's record, and the position of its last change.
+/// A target record and the store position of its last change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordAt {
     pub at: Position,
--- a/crates/gateway/src/readiness.rs
+++ b/crates/gateway/src/readiness.rs
@@ -1,4 +1,4 @@
-//! Answers the balancer's question whether new connections may come.
+//! Answers the load balancer's readiness checks.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -16,7 +16,7 @@
 use crate::callers::listen::accept_each;
 use crate::traffic::Traffic;
 
-/// Answers until the thread ends.
+/// Serves readiness checks until the thread ends.
 pub fn start(cx: &Rc<Traffic>, listener: TcpListener) {
     actix_rt::spawn(accept(cx.clone(), listener));
 }
@@ -31,7 +31,7 @@
         actix_rt::spawn(async move {
             let serving = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
             if let Err(err) = serving.await {
-                log::debug!("a readiness connection broke: {err}");
+                log::debug!("a readiness connection failed: {err}");
             }
         });
     })
@@ -39,8 +39,8 @@
 }
 
 fn answer(cx: &Rc<Traffic>, req: &Request<Incoming>) -> Response<Full<Bytes>> {
-    let is_question = req.method() == READY_METHOD && req.uri().path() == READY_PATH;
-    let status = match (is_question, cx.is_ready()) {
+    let is_check = req.method() == READY_METHOD && req.uri().path() == READY_PATH;
+    let status = match (is_check, cx.is_ready()) {
         (false, _) => StatusCode::NOT_FOUND,
         (true, true) => StatusCode::OK,
         (true, false) => StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -1,4 +1,4 @@
-//! Starts the daemon's threads and listeners.
+//! Starts the threads and listeners of the gateway.
 
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
@@ -23,61 +23,61 @@
 use crate::stop;
 use crate::traffic::{FromControl, Traffic};
 use crate::view::Published;
-use crate::{callers, metrics, pace, peers, readiness};
+use crate::{callers, event_loop_lag, metrics, peers, readiness};
 
-/// Why the daemon didn't start.
+/// Reason why the gateway did not start.
 #[derive(Debug, Snafu)]
 pub enum StartError {
-    /// An address of the settings can't be listened at.
+    /// An address of the settings cannot be bound.
     #[snafu(display("cannot listen at {addr}: {source}; check the addresses in the settings"))]
     Listen {
         addr: SocketAddr,
         source: std::io::Error,
     },
-    /// The traffic thread can't take the listeners.
+    /// The traffic thread cannot register the listeners.
     #[snafu(display("cannot start the traffic thread: {source}; check the descriptor limit"))]
     Traffic { source: std::io::Error },
     /// The traffic thread ended before it listened.
-    #[snafu(display("the traffic thread ended at its start; see the log above"))]
+    #[snafu(display("the traffic thread ended while starting; see the log"))]
     ThreadEnded,
 }
 
-/// Sockets that listen, and where.
+/// Bound listeners.
 struct Listeners {
     callers: TcpListener,
     readiness: TcpListener,
     peers: TcpListener,
-    /// The addresses, with the ports that were given where the settings say 0.
+    /// Their addresses, with the actual ports where the settings say 0.
     at: Listen,
 }
 
 impl Listeners {
-    fn bind(wanted: &Listen) -> Result<Self, StartError> {
+    fn bind(addrs: &Listen) -> Result<Self, StartError> {
         let listen = |addr: SocketAddr| {
             let listener = bind(addr).context(ListenSnafu { addr })?;
             let addr = listener.local_addr().context(ListenSnafu { addr })?;
             Ok((listener, addr))
         };
-        let (callers, callers_at) = listen(wanted.callers)?;
-        let (readiness, readiness_at) = listen(wanted.readiness)?;
-        let (peers, peers_at) = listen(wanted.peers)?;
+        let (callers, callers_addr) = listen(addrs.callers)?;
+        let (readiness, readiness_addr) = listen(addrs.readiness)?;
+        let (peers, peers_addr) = listen(addrs.peers)?;
         Ok(Listeners {
             callers,
             readiness,
             peers,
             at: Listen {
-                callers: callers_at,
-                readiness: readiness_at,
-                peers: peers_at,
+                callers: callers_addr,
+                readiness: readiness_addr,
+                peers: peers_addr,
                 metrics: None,
             },
         })
     }
 }
 
-/// A daemon that serves.
+/// A running gateway.
 pub struct Running {
-    /// Where it listens.
+    /// Addresses of its listeners.
     pub at: Listen,
     settings: Arc<ArcSwap<Settings>>,
     stop: oneshot::Sender<oneshot::Sender<()>>,
@@ -86,8 +86,7 @@
 }
 
 impl Running {
-    /// Puts settings in force that were read again. Addresses, names and the
-    /// store stay as they were at the start.
+    /// Applies reloaded settings. Addresses, names and the store keep their initial values.
     pub fn reload(&self, settings: Settings) {
         self.log.line(
             events::RELOADED,
@@ -96,18 +95,18 @@
         self.settings.store(Arc::new(settings));
     }
 
-    /// Makes a planned stop; returns when the process may end.
+    /// Runs a planned stop; the process may exit when it returns.
     pub async fn stop(self) {
         let (done, ended) = oneshot::channel();
         actix_rt::spawn(async move { self.control.leave().await });
         if self.stop.send(done).is_ok() && ended.await.is_err() {
-            log::warn!("the traffic thread ended before its stop did");
+            log::warn!("the traffic thread ended before the planned stop finished");
         }
         self.log.line(events::LEFT, format_args!(""));
     }
 }
 
-/// Starts serving: traffic on a thread of its own, control on this one.
+/// Starts the gateway: traffic on a thread of its own, control on the current one.
 pub async fn start(settings: Settings, mechanisms: Mechanisms) -> Result<Running, StartError> {
     let clock = Clock::start();
     let listeners = Listeners::bind(&settings.listen)?;
@@ -117,8 +116,8 @@
     let published = Arc::new(Published::default());
     let feeds = Arc::new(Feeds::default());
     let (stop, stopping) = oneshot::channel();
-    let (crashes, refused) = Crashes::new();
-    let (phases, to_record) = rollouts::to_store();
+    let (crashes, refusals) = Crashes::new();
+    let (phases, phase_receiver) = rollouts::to_store();
     let hall = settings.hall.clone();
     let control_settings = settings.clone();
     let settings = Arc::new(ArcSwap::from_pointee(settings));
@@ -148,7 +147,7 @@
         ),
     );
     let control = Control::new(&control_settings, me, clock, published, feeds);
-    control.spawn(refused, to_record);
+    control.spawn(refusals, phase_receiver);
     Ok(Running {
         at,
         settings,
@@ -158,7 +157,7 @@
     })
 }
 
-/// What this run tells the other entries of itself.
+/// The record of this run for the other entries.
 fn own_record(settings: &Settings, peers: SocketAddr) -> PeerRecord {
     PeerRecord {
         id: PeerId(rand::random()),
@@ -180,7 +179,7 @@
     Arbiter::new().spawn_fn(move || {
         let serving = serve(&traffic(), listeners, stopping);
         if started.send(serving).is_err() {
-            log::warn!("nobody waits for the traffic thread any more");
+            log::warn!("the start was cancelled while the traffic thread was starting");
         }
     });
     is_started
@@ -191,19 +190,19 @@
 
 /// Starts the tasks of the traffic thread.
 fn serve(cx: &Rc<Traffic>, listeners: Listeners, stopping: Stopping) -> std::io::Result<()> {
-    let take = tokio::net::TcpListener::from_std;
-    readiness::start(cx, take(listeners.readiness)?);
-    peers::start(cx, take(listeners.peers)?);
-    let accepting = callers::start(cx, take(listeners.callers)?);
+    let into_tokio = tokio::net::TcpListener::from_std;
+    readiness::start(cx, into_tokio(listeners.readiness)?);
+    peers::start(cx, into_tokio(listeners.peers)?);
+    let accepting = callers::start(cx, into_tokio(listeners.callers)?);
     actix_rt::spawn(cx.clone().follow_views());
-    actix_rt::spawn(pace::watch(cx.clone()));
+    actix_rt::spawn(event_loop_lag::watch(cx.clone()));
     actix_rt::spawn(Rollouts::follow(cx.clone()));
     let cx = cx.clone();
     actix_rt::spawn(async move {
         if let Ok(done) = stopping.await {
             stop::run(&cx, accepting).await;
-            // The receiver may have stopped waiting.
-            let _waits = done.send(());
+            // The receiver may be gone.
+            let _sent = done.send(());
         }
     });
     Ok(())
--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/stop.rs
@@ -1,9 +1,9 @@
-//! A planned stop that cuts no request.
+//! A planned stop that interrupts no request.
 //!
-//! Not ready at once, so that the balancer sends no new connections; go on
-//! serving while it may lag; then refuse what comes, which could not end in
-//! time, and close callers' connections between requests; leave when nothing is
-//! in flight, or just before the platform kills the process.
+//! The entry reports itself as not ready at once and keeps serving until the load balancer has
+//! noticed. Then it refuses new requests, which could not finish in time, and closes idle
+//! connections of callers. It exits when nothing is in flight, or just before the platform
+//! kills the process.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,43 +14,42 @@
 
 use crate::traffic::{Stopping, Traffic};
 
-/// Time until the balancer has stopped sending connections: it asks each
-/// second and takes two misses, and its last one may still be coming up.
+/// Time until the load balancer sends no more connections: it checks each second, acts on the
+/// second failure, and a last connection may still be in setup.
 const BALANCER_LAG: Duration = Duration::from_millis(2_900);
-/// Time before the platform's kill at which the process leaves whatever is in
-/// flight.
-const BEFORE_KILL: Duration = Duration::from_millis(400);
-/// Time before the end at which requests that no target has yet are refused.
-const LAST_CALL: Duration = Duration::from_millis(500);
-/// Between two looks at what is in flight.
-const PAUSE: Duration = Duration::from_millis(25);
-/// Time for last bytes to leave the sockets.
-const FLUSH: Duration = Duration::from_millis(50);
+/// Time before the platform's kill at which the process exits in any case.
+const KILL_MARGIN: Duration = Duration::from_millis(400);
+/// Time before the exit at which requests that were not sent to a target yet are refused.
+const FINAL_SHUTDOWN_MARGIN: Duration = Duration::from_millis(500);
+/// Interval between checks of the open connections.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// Time for the sockets to send their last bytes.
+const FLUSH_TIME: Duration = Duration::from_millis(50);
 
-/// Runs a planned stop to its end; the process may end after.
+/// Runs a planned stop; the process may exit when it returns.
 pub async fn run(cx: &Rc<Traffic>, accepting: JoinHandle<()>) {
-    let latest = Instant::now() + cx.settings().grace().saturating_sub(BEFORE_KILL);
+    let latest = Instant::now() + cx.settings().grace().saturating_sub(KILL_MARGIN);
     cx.stopping.set(Stopping::Serving);
     log_step(cx, events::STOP_BEGUN);
     sleep(BALANCER_LAG.min(cx.settings().grace() / 2)).await;
     cx.stopping.set(Stopping::RefusingNew);
     cx.close_idle.notify_waiters();
-    drain_until(cx, latest - LAST_CALL).await;
+    drain_until(cx, latest - FINAL_SHUTDOWN_MARGIN).await;
     cx.last_call.notify_waiters();
     drain_until(cx, latest).await;
     accepting.abort();
     log_step(cx, events::STOP_DRAINED);
-    sleep(FLUSH).await;
+    sleep(FLUSH_TIME).await;
 }
 
-/// Waits until no caller is connected, at the longest until a moment.
+/// Waits until no caller is connected, at most until `latest`.
 async fn drain_until(cx: &Traffic, latest: Instant) {
     while cx.connections.get() > 0 && Instant::now() < latest {
-        sleep(PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Writes a line with what is still there.
+/// Logs a step of the stop with the requests and connections that remain.
 fn log_step(cx: &Traffic, step: Event) {
     cx.log.line(
         step,
--- a/crates/gateway/src/target_words.rs
+++ b/crates/gateway/src/target_words.rs
@@ -1,23 +1,22 @@
-//! What targets say of themselves in their answers, and who else is told.
+//! Reports of targets about themselves in their answers, and their broadcast to peers.
 //!
-//! A target that leaves says so to the store and in all its answers. The store tells every
-//! entry, unless it is away; so whatever an answer says holds from its head on, at this
-//! entry at once. Where the target's record hasn't said the same a little later, the one
-//! entry that tells for this target ([`Peers::owner_of`]) hears of it and tells all others:
-//! whoever names engines or makes calls for others has to know, too, and a target that was
-//! sent nothing meanwhile tells nobody.
+//! A draining target reports this in its record in the store and in all its answers. A report
+//! takes effect at this entry with the headers of the answer. If the record does not confirm
+//! it shortly after, for example because the store is unreachable, the entry that coordinates
+//! broadcasts for the target ([`Peers::owner_of`]) is notified and notifies all others, since
+//! entries that place requests for others need it too.
 //!
-//! An answer of another start at a target's address says that the one which was asked has
-//! ended, and is taken and told in the same way: else requests are turned away, one after
-//! the other, at addresses whose engines ended while the store was silent.
+//! An answer from another incarnation at the target's address means that this incarnation has
+//! crashed; it is handled in the same way. Otherwise requests would be sent in vain to
+//! addresses of crashed targets while the store is unreachable.
 //!
-//! A target in need names how many requests a second it takes from all entries together.
-//! No record says that, so whoever hears it has all others told in the same way, at once:
-//! the owner of a desk sends for all. An entry that comes later is told what is in
-//! force, and a desk's owner hears it again from those it places requests for.
+//! A limited target reports how many requests per second it takes from all entries together.
+//! Records do not contain limits, so they are broadcast at once. New entries receive the
+//! limits in force, and the owner of a scheduler receives them again from the entries it
+//! places requests for.
 //!
-//! A target that turns work away may say for how long it wants none. That is meant for the
-//! entry that asked, and stays there.
+//! A target that rejects a request may ask for a backoff. It applies to this entry only and is
+//! not broadcast.
 //!
 //! [`Peers::owner_of`]: crate::peers::Peers::owner_of
 
@@ -33,33 +32,32 @@
 use http::StatusCode;
 
 use crate::metrics;
-use crate::peers::{Link, Message, Owner, PeerId, PeerRecord, ToldLimit};
+use crate::peers::{LimitNotice, Link, Message, Owner, PeerId, PeerRecord};
 use crate::traffic::Traffic;
 
-/// How long an entry waits for a target's record to say what its answer said, before it
-/// has the others told: a record takes at most the pause of a watch (an eighth of the time
-/// within which a leaving target has to be heeded, 250 to 625 ms) and two hops. While the
-/// store answers nothing is told.
+/// How long an entry waits for a target's record to confirm a report before it requests a
+/// broadcast. A record takes up to the pause of a watch (250 to 625 ms) and two hops.
 const RECORD_WITHIN: Duration = Duration::from_millis(700);
 
-/// Takes what the head of an answer says of its target; it answers a request that was sent
-/// at `asked`, or later.
-pub fn take(
+/// Applies the reports in the headers of an answer to a request that was sent at `sent_at` or
+/// later.
+pub fn record_reports(
     cx: &Rc<Traffic>,
     target: &Target,
     status: StatusCode,
     head: &TargetHead,
-    asked: Millis,
+    sent_at: Millis,
 ) {
-    let start = target.incarnation();
-    // Another start wrote it: this one has ended, and what else it says is of that one.
+    let incarnation = target.incarnation();
+    // Another incarnation answered, so this one has crashed, and the other reports in the
+    // answer are not its own.
     if status == OTHER_INCARNATION {
-        take_out(cx, start, "another_start_answers");
+        take_out_of_use(cx, incarnation, "another_start_answers");
         return;
     }
-    log_odd_words(cx, start, head);
+    log_unusable_headers(cx, incarnation, head);
     if head.is_leaving {
-        take_out(cx, start, "answer");
+        take_out_of_use(cx, incarnation, "answer");
     }
     let per_s = match head.limit {
         NamedLimit::Absent => Some(None),
@@ -67,218 +65,228 @@
         NamedLimit::Unreadable => None,
     };
     if let Some(per_s) = per_s {
-        let heard = cx.clock.now();
-        let word = LimitWord {
+        let received_at = cx.clock.now();
+        let report = LimitWord {
             per_s,
-            asked,
-            heard,
+            asked: sent_at,
+            heard: received_at,
         };
-        if take_limit(cx, start, word, "answer") {
-            have_limit_told_spaced(cx, start);
+        if record_limit(cx, incarnation, report, "answer") {
+            request_limit_broadcast_throttled(cx, incarnation);
         }
     }
-    let rest = head
+    let backoff = head
         .retry_after
         .filter(|_| status == StatusCode::SERVICE_UNAVAILABLE);
-    if let Some(rest) = rest.filter(|rest| cx.target_rests(start, *rest)) {
-        let fields = format_args!("target={} for_ms={}", start.id, rest.as_millis());
+    if let Some(backoff) = backoff.filter(|backoff| cx.record_backoff(incarnation, *backoff)) {
+        let fields = format_args!("target={} for_ms={}", incarnation.id, backoff.as_millis());
         cx.log.line(events::TARGET_RESTS, fields);
     }
 }
 
-/// Says which words of an answer can't be read, or aren't known: what was known before
-/// stays. Each of a target is told once in a while.
-fn log_odd_words(cx: &Traffic, start: &Incarnation, head: &TargetHead) {
-    for UnreadableWord { word, text } in &head.unreadable {
-        metrics::count_odd_word(word);
-        if cx.is_odd_word_due(start, word) {
-            let fields = format_args!("target={} word={word} text=\"{text}\"", start.id);
+/// Logs and counts malformed and unrecognised headers, which are otherwise ignored. Log lines
+/// are throttled for each target and header.
+fn log_unusable_headers(cx: &Traffic, incarnation: &Incarnation, head: &TargetHead) {
+    for UnreadableWord { word: header, text } in &head.unreadable {
+        metrics::count_unusable_header(header);
+        if cx.is_header_log_due(incarnation, header) {
+            let fields = format_args!("target={} word={header} text=\"{text}\"", incarnation.id);
             cx.log.line(events::TARGET_WORD_UNREADABLE, fields);
         }
     }
-    for word in &head.unknown {
-        metrics::count_odd_word(word);
-        if cx.is_odd_word_due(start, word) {
-            let fields = format_args!("target={} word={word}", start.id);
+    for header in &head.unknown {
+        metrics::count_unusable_header(header);
+        if cx.is_header_log_due(incarnation, header) {
+            let fields = format_args!("target={} word={header}", incarnation.id);
             cx.log.line(events::TARGET_WORD_UNKNOWN, fields);
         }
     }
 }
 
-/// A start says that it leaves, or has ended: it gets nothing new, here at once and
-/// elsewhere soon.
-fn take_out(cx: &Rc<Traffic>, start: &Incarnation, by: &str) {
-    if cx.target_leaves(start) {
-        log_leaving(cx, start, by);
-        actix_rt::spawn(have_told(cx.clone(), start.clone()));
+/// Takes a draining or crashed incarnation out of use and schedules a broadcast.
+fn take_out_of_use(cx: &Rc<Traffic>, incarnation: &Incarnation, by: &str) {
+    if cx.mark_draining(incarnation) {
+        log_draining(cx, incarnation, by);
+        actix_rt::spawn(request_draining_broadcast(cx.clone(), incarnation.clone()));
     }
 }
 
-/// A start names a limit, or none, by an answer of its own or by a peer's word. True when
-/// its limit is another one now.
-fn take_limit(cx: &Rc<Traffic>, start: &Incarnation, word: LimitWord, by: &str) -> bool {
-    let is_news = cx.target_names_limit(start, word);
-    if is_news {
-        log_limit(cx, start, word, by);
+/// Records a reported limit, from an answer or a peer. True when the limit changed.
+fn record_limit(cx: &Rc<Traffic>, incarnation: &Incarnation, report: LimitWord, by: &str) -> bool {
+    let has_changed = cx.record_target_limit(incarnation, report);
+    if has_changed {
+        log_limit(cx, incarnation, report, by);
     }
-    is_news
+    has_changed
 }
 
-/// Has all entries told what a start says of its limit, once a pause after the last time.
-fn have_limit_told_spaced(cx: &Rc<Traffic>, start: &Incarnation) {
-    match cx.limit_news.changed(cx.clock.now(), start) {
-        Tell::Now => have_limit_told(cx, start),
+/// Requests a broadcast of the reported limit, throttled for each incarnation.
+fn request_limit_broadcast_throttled(cx: &Rc<Traffic>, incarnation: &Incarnation) {
+    match cx.limit_broadcasts.changed(cx.clock.now(), incarnation) {
+        Tell::Now => request_limit_broadcast(cx, incarnation),
         Tell::At(at) => {
-            let (cx, start) = (cx.clone(), start.clone());
+            let (cx, incarnation) = (cx.clone(), incarnation.clone());
             actix_rt::spawn(async move {
                 tokio::time::sleep_until(cx.clock.timer(at).into()).await;
-                cx.limit_news.told(cx.clock.now(), &start);
-                have_limit_told(&cx, &start);
+                cx.limit_broadcasts.told(cx.clock.now(), &incarnation);
+                request_limit_broadcast(&cx, &incarnation);
             });
         }
         Tell::IsDue => {}
     }
 }
 
-fn have_limit_told(cx: &Rc<Traffic>, start: &Incarnation) {
-    let Some(word) = cx.targets().limit_word(start) else {
+fn request_limit_broadcast(cx: &Rc<Traffic>, incarnation: &Incarnation) {
+    let Some(report) = cx.targets().limit_word(incarnation) else {
         return;
     };
-    match coordinator_of(cx, start) {
-        Owner::Me => tell_limit_to_all(cx, start),
-        Owner::Peer(link) => link.send(limit_message(cx, start, word, true)),
+    match coordinator_of(cx, incarnation) {
+        Owner::Me => broadcast_limit(cx, incarnation),
+        Owner::Peer(link) => link.send(limit_message(cx, incarnation, report, true)),
     }
 }
 
-/// Tells every other entry what a start says of its limit.
-pub fn tell_limit_to_all(cx: &Rc<Traffic>, start: &Incarnation) {
-    let Some(word) = cx.targets().limit_word(start) else {
+/// Sends the reported limit to every other entry.
+pub fn broadcast_limit(cx: &Rc<Traffic>, incarnation: &Incarnation) {
+    let Some(report) = cx.targets().limit_word(incarnation) else {
         return;
     };
     for link in cx.peers.links_to_all(cx) {
-        link.send(limit_message(cx, start, word, false));
+        link.send(limit_message(cx, incarnation, report, false));
     }
 }
 
-/// A peer says what a target says of its limit, and that this entry is to tell all others
-/// or not.
-pub fn told_limit(cx: &Rc<Traffic>, start: &Incarnation, told: ToldLimit, tell_others: bool) {
+/// A peer sent a reported limit. With `tell_others` this entry broadcasts it.
+pub fn on_limit_notice(
+    cx: &Rc<Traffic>,
+    incarnation: &Incarnation,
+    notice: LimitNotice,
+    tell_others: bool,
+) {
     let now = cx.clock.now();
-    let word = LimitWord {
-        per_s: told.per_s,
-        asked: now.saturating_sub(told.asked_ms),
-        heard: now.saturating_sub(told.heard_ms),
+    let report = LimitWord {
+        per_s: notice.per_s,
+        asked: now.saturating_sub(notice.asked_ms),
+        heard: now.saturating_sub(notice.heard_ms),
     };
-    if take_limit(cx, start, word, "peer") && tell_others {
-        have_limit_told_spaced(cx, start);
+    if record_limit(cx, incarnation, report, "peer") && tell_others {
+        request_limit_broadcast_throttled(cx, incarnation);
     }
 }
 
-/// Tells an entry that sends to a target for this one, now and then, what the target says
-/// of its limit.
+/// Sends the reported limit from time to time to an entry that sends to the target on behalf
+/// of this one.
 pub fn repeat_limit(cx: &Traffic, target: &Target, to: &Rc<Link>) {
-    let word = cx.targets().limit_to_repeat(cx.clock.now(), target);
-    if let Some(word) = word {
-        to.send(limit_message(cx, target.incarnation(), word, false));
+    let report = cx.targets().limit_to_repeat(cx.clock.now(), target);
+    if let Some(report) = report {
+        to.send(limit_message(cx, target.incarnation(), report, false));
     }
 }
 
-/// Tells entries that have just come which limits are in force, as far as this one told for
-/// their targets before they came: a new entry may be the next that tells for a target.
-pub fn tell_new_peers(cx: &Rc<Traffic>, new_peers: &[&PeerRecord]) {
+/// Sends the limits in force to new entries, for targets that this entry coordinated before
+/// they joined; a new entry may become the coordinator.
+pub fn send_limits_to_new_peers(cx: &Rc<Traffic>, new_peers: &[&PeerRecord]) {
     let limited = cx.targets().limited();
     let ids: Vec<PeerId> = new_peers.iter().map(|peer| peer.id).collect();
-    for (start, word) in limited {
-        let name = coordination_name(&start);
+    for (incarnation, report) in limited {
+        let name = coordination_key(&incarnation);
         if !cx.peers.is_mine_without(cx, &name, &ids) {
             continue;
         }
         let others = new_peers.iter().filter(|peer| peer.id != cx.me.id);
         for peer in others {
             let link = cx.peers.link_to(cx, peer);
-            link.send(limit_message(cx, &start, word, false));
+            link.send(limit_message(cx, &incarnation, report, false));
         }
     }
 }
 
-fn limit_message(cx: &Traffic, start: &Incarnation, word: LimitWord, tell_others: bool) -> Message {
+fn limit_message(
+    cx: &Traffic,
+    incarnation: &Incarnation,
+    report: LimitWord,
+    tell_others: bool,
+) -> Message {
     let now = cx.clock.now();
     Message::TargetLimit {
-        target: start.clone(),
-        limit: ToldLimit {
-            per_s: word.per_s,
-            asked_ms: now.saturating_sub(word.asked),
-            heard_ms: now.saturating_sub(word.heard),
+        target: incarnation.clone(),
+        limit: LimitNotice {
+            per_s: report.per_s,
+            asked_ms: now.saturating_sub(report.asked),
+            heard_ms: now.saturating_sub(report.heard),
         },
         tell_others,
     }
 }
 
-/// The one entry that tells all others what a start says of itself.
-fn coordinator_of(cx: &Rc<Traffic>, start: &Incarnation) -> Owner {
-    cx.peers.owner_of(cx, &coordination_name(start))
+/// The entry that broadcasts reports of an incarnation.
+fn coordinator_of(cx: &Rc<Traffic>, incarnation: &Incarnation) -> Owner {
+    cx.peers.owner_of(cx, &coordination_key(incarnation))
 }
 
-/// By which the one entry is found that tells what a start says of itself.
-fn coordination_name(start: &Incarnation) -> String {
-    format!("words/{}", start.id)
+/// Key that determines the coordinator.
+fn coordination_key(incarnation: &Incarnation) -> String {
+    format!("words/{}", incarnation.id)
 }
 
-/// A peer says that a target leaves, and that this entry is to tell all others or not.
-pub fn told_leaving(cx: &Rc<Traffic>, start: &Incarnation, tell_others: bool) {
-    if cx.target_leaves(start) {
-        log_leaving(cx, start, "peer");
+/// A peer reported a draining target. With `tell_others` this entry broadcasts it.
+pub fn on_draining_notice(cx: &Rc<Traffic>, incarnation: &Incarnation, tell_others: bool) {
+    if cx.mark_draining(incarnation) {
+        log_draining(cx, incarnation, "peer");
     }
     if tell_others {
-        tell_all(cx, start);
+        broadcast_draining(cx, incarnation);
     }
 }
 
-/// Has all entries told that a target leaves, unless its record does so.
-async fn have_told(cx: Rc<Traffic>, start: Incarnation) {
+/// Requests a broadcast that a target is draining, unless its record says so.
+async fn request_draining_broadcast(cx: Rc<Traffic>, incarnation: Incarnation) {
     tokio::time::sleep(RECORD_WITHIN).await;
-    if cx.view().targets.leaving.contains(&start) {
+    if cx.view().targets.leaving.contains(&incarnation) {
         return;
     }
-    match coordinator_of(&cx, &start) {
-        Owner::Me => tell_all(&cx, &start),
+    match coordinator_of(&cx, &incarnation) {
+        Owner::Me => broadcast_draining(&cx, &incarnation),
         Owner::Peer(link) => link.send(Message::TargetLeaves {
-            target: start,
+            target: incarnation,
             tell_others: true,
         }),
     }
 }
 
-/// Tells every other entry that a target leaves, once.
-fn tell_all(cx: &Rc<Traffic>, start: &Incarnation) {
-    if !cx.pass_leaving_on(start) {
+/// Notifies every other entry that a target is draining, once.
+fn broadcast_draining(cx: &Rc<Traffic>, incarnation: &Incarnation) {
+    if !cx.mark_draining_broadcast(incarnation) {
         return;
     }
     for link in cx.peers.links_to_all(cx) {
         link.send(Message::TargetLeaves {
-            target: start.clone(),
+            target: incarnation.clone(),
             tell_others: false,
         });
     }
 }
 
-fn log_limit(cx: &Traffic, start: &Incarnation, word: LimitWord, by: &str) {
+fn log_limit(cx: &Traffic, incarnation: &Incarnation, report: LimitWord, by: &str) {
     let now = cx.clock.now();
-    let per_s = word
+    let per_s = report
         .per_s
         .map_or("none".to_string(), |per_s| per_s.to_string());
-    let (asked, heard) = (
-        now.saturating_sub(word.asked),
-        now.saturating_sub(word.heard),
+    let (sent_age, received_age) = (
+        now.saturating_sub(report.asked),
+        now.saturating_sub(report.heard),
     );
     let fields = format_args!(
-        "target={} born={} per_s={per_s} asked_ms={asked} heard_ms={heard} by={by}",
-        start.id, start.born,
+        "target={} born={} per_s={per_s} asked_ms={sent_age} heard_ms={received_age} by={by}",
+        incarnation.id, incarnation.born,
     );
     cx.log.line(events::TARGET_LIMIT, fields);
 }
 
-fn log_leaving(cx: &Traffic, start: &Incarnation, by: &str) {
-    let fields = format_args!("target={} born={} by={by}", start.id, start.born);
+fn log_draining(cx: &Traffic, incarnation: &Incarnation, by: &str) {
+    let fields = format_args!(
+        "target={} born={} by={by}",
+        incarnation.id, incarnation.born
+    );
     cx.log.line(events::TARGET_LEAVES, fields);
 }
--- a/crates/gateway/src/traffic.rs
+++ b/crates/gateway/src/traffic.rs
@@ -27,60 +27,60 @@
 use crate::rollouts::{RecordPhase, Rollouts};
 use crate::view::{Published, Targets, View};
 
-/// Part of the allowed ratio of extra arrivals that is used; the rest is left
-/// for what arrives twice without our doing.
+/// Share of the allowed ratio of extra arrivals that is used; the rest covers duplicates that
+/// the gateway does not cause.
 const RATIO_SHARE: f64 = 0.8;
-/// Part of the extra arrivals allowed besides the ratio that the entries share.
-/// A window slides, so that tokens saved before it are spent in it beside those
-/// earned; and entries that don't know of each other each take a whole share.
+/// Share of the fixed allowance of extra arrivals that all entries use together. Below 1 since
+/// saved and earned tokens can be spent in one window, and since entries that do not know each
+/// other use a full share each.
 const EXTRA_SHARE: f64 = 0.5;
 
-/// Between two messages to the other entries on one target's limit, in milliseconds: it may
-/// be another one in each answer.
-const TELL_LIMITS_EVERY_MS: Millis = 250;
+/// Interval between broadcasts of one target's limit, in milliseconds, since the limit may
+/// change with each answer.
+const LIMIT_BROADCAST_INTERVAL_MS: Millis = 250;
 
-/// Between two log lines on one odd word of one target, in milliseconds: it may stand in
-/// every answer.
-const TELL_ODD_WORDS_EVERY_MS: Millis = 60_000;
+/// Interval between log lines on one unusable header of one target, in milliseconds, since it
+/// may occur in every answer.
+const HEADER_LOG_INTERVAL_MS: Millis = 60_000;
 
-/// True when a view has other targets than the one before, or other services for them.
-fn has_other_targets(before: &View, newest: &View) -> bool {
-    has_other_deployment(before, newest) || !Arc::ptr_eq(&before.targets, &newest.targets)
+/// True when the targets or the services they belong to changed between two views.
+fn targets_changed(before: &View, newest: &View) -> bool {
+    deployment_changed(before, newest) || !Arc::ptr_eq(&before.targets, &newest.targets)
 }
 
-fn has_other_deployment(before: &View, newest: &View) -> bool {
+fn deployment_changed(before: &View, newest: &View) -> bool {
     match (&before.deployment, &newest.deployment) {
         (Some(before), Some(newest)) => !Arc::ptr_eq(before, newest),
         (before, newest) => before.is_some() || newest.is_some(),
     }
 }
 
-/// How far a planned stop is.
+/// Phase of a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stopping {
     No,
-    /// Not ready; what comes is still served.
+    /// Not ready; new requests are still served.
     Serving,
-    /// What comes is refused; what is under way ends.
+    /// New requests are refused; those in progress finish.
     RefusingNew,
 }
 
-/// Where traffic finds what control knows.
+/// State that the control thread shares with traffic.
 pub struct FromControl {
     pub published: Arc<Published>,
     pub feeds: Arc<Feeds>,
 }
 
-/// Everything that requests share.
+/// State shared by all requests.
 pub struct Traffic {
     settings: Arc<ArcSwap<Settings>>,
-    /// This entry.
+    /// Record of this entry.
     pub me: PeerRecord,
     mechanisms: Mechanisms,
     pub clock: Clock,
     pub log: Log,
     published: Arc<Published>,
-    /// What control hears from the store, for peers that follow it.
+    /// Changes received from the store, for peers that request them.
     pub feeds: Arc<Feeds>,
     view: RefCell<Arc<View>>,
     targets: RefCell<TargetTable>,
@@ -89,34 +89,34 @@
     pub placements: Placements,
     pub crashes: Crashes,
     pub rollouts: Rollouts,
-    /// When targets' limits were told to the others.
-    pub limit_news: Throttle<Incarnation>,
-    /// Words of targets that can't be read or aren't known, by the target's id.
-    odd_words: RefCell<LogThrottle<(String, String)>>,
-    /// By the service's name.
+    /// Throttles broadcasts of targets' limits.
+    pub limit_broadcasts: Throttle<Incarnation>,
+    /// Throttles log lines on unusable headers, by target id and header.
+    header_log: RefCell<LogThrottle<(String, String)>>,
+    /// Retry budgets by service name.
     budgets: RefCell<HashMap<String, RetryBudget>>,
-    /// Recent times of whole requests, by the service's name.
+    /// Recent latencies of requests, by service name.
     latencies: RefCell<HashMap<String, LatencyWindow>>,
-    /// Recent times to first events, by the service's name.
-    readings: RefCell<HashMap<String, ReadingTimes>>,
-    /// Requests between their head and the end of their answer.
+    /// Recent times to the first event, by service name.
+    prefill_times: RefCell<HashMap<String, ReadingTimes>>,
+    /// Requests from their head to the end of their response.
     pub in_flight: Cell<usize>,
-    /// Connections of callers.
+    /// Open connections of callers.
     pub connections: Cell<usize>,
     pub stopping: Cell<Stopping>,
-    /// Whether this entry keeps up with its work.
+    /// Event-loop lag of this thread.
     pub pace: Cell<Pace>,
-    /// Told shortly before the process ends: what no target has yet is refused.
+    /// Notified shortly before the process exits: requests not sent to a target yet are
+    /// refused.
     pub last_call: Notify,
-    /// Told when idle connections of callers are to close.
+    /// Notified when idle connections of callers have to close.
     pub close_idle: Notify,
-    /// Told with each view that has a configuration.
+    /// Notified with each view that has a configuration.
     configured: Notify,
 }
 
 impl Traffic {
-    /// Makes the state, before the first view, on the thread that calls what
-    /// this returns.
+    /// Returns a function that creates the state; it has to be called on the traffic thread.
     pub fn prepare(
         settings: Arc<ArcSwap<Settings>>,
         me: PeerRecord,
@@ -136,8 +136,8 @@
                 placements: Placements::default(),
                 crashes,
                 rollouts: Rollouts::new(phases),
-                odd_words: RefCell::new(LogThrottle::new(TELL_ODD_WORDS_EVERY_MS)),
-                limit_news: Throttle::new(TELL_LIMITS_EVERY_MS),
+                header_log: RefCell::new(LogThrottle::new(HEADER_LOG_INTERVAL_MS)),
+                limit_broadcasts: Throttle::new(LIMIT_BROADCAST_INTERVAL_MS),
                 view: RefCell::new(published.load()),
                 published,
                 feeds,
@@ -146,7 +146,7 @@
                 targets: RefCell::default(),
                 budgets: RefCell::default(),
                 latencies: RefCell::default(),
-                readings: RefCell::default(),
+                prefill_times: RefCell::default(),
                 in_flight: Cell::new(0),
                 connections: Cell::new(0),
                 stopping: Cell::new(Stopping::No),
@@ -158,35 +158,35 @@
         }
     }
 
-    /// The settings in force.
+    /// The current settings.
     pub fn settings(&self) -> Arc<Settings> {
         self.settings.load_full()
     }
 
-    /// True when something that could be left out is on.
+    /// True when an optional mechanism is on.
     pub fn has(&self, mechanism: Mechanism) -> bool {
         self.mechanisms.has(mechanism)
     }
 
-    /// Takes views over as they are published.
+    /// Applies views as they are published.
     pub async fn follow_views(self: Rc<Self>) {
         loop {
             self.published.changed().await;
-            self.take_view();
+            self.update_view();
         }
     }
 
-    fn take_view(self: &Rc<Self>) {
+    fn update_view(self: &Rc<Self>) {
         let newest = self.published.load();
         if newest.number == self.view.borrow().number {
             return;
         }
         let before = self.view.borrow().clone();
         self.crashes
-            .take_listed(self, &before.refused, &newest.refused);
-        let has_other_targets = has_other_targets(&before, &newest);
+            .apply_listed(self, &before.refused, &newest.refused);
+        let targets_changed = targets_changed(&before, &newest);
         let mut changed = BTreeSet::new();
-        if let Some(deployment) = newest.deployment.as_ref().filter(|_| has_other_targets) {
+        if let Some(deployment) = newest.deployment.as_ref().filter(|_| targets_changed) {
             let now = self.clock.now();
             let Targets {
                 usable, leaving, ..
@@ -194,31 +194,31 @@
             let mut targets = self.targets.borrow_mut();
             changed = targets.take(now, deployment, usable, leaving);
         }
-        let has_other_peers = !Arc::ptr_eq(&before.peers, &newest.peers);
-        if has_other_peers {
-            self.peers.take(self, &newest.peers);
+        let peers_changed = !Arc::ptr_eq(&before.peers, &newest.peers);
+        if peers_changed {
+            self.peers.update(self, &newest.peers);
         }
         *self.view.borrow_mut() = newest.clone();
         self.rollouts.take(self, &newest);
-        if has_other_peers || has_other_deployment(&before, &newest) {
+        if peers_changed || deployment_changed(&before, &newest) {
             self.pass_targets_on();
         } else if !changed.is_empty() {
-            self.pass_targets_on_of(&changed);
+            self.propagate_targets_of(&changed);
         }
         if self.deployment_in_use().is_some() {
             self.configured.notify_waiters();
         }
     }
 
-    /// Has queues and desks take the usable targets as they are now.
+    /// Updates queues and schedulers with the usable targets.
     pub fn pass_targets_on(self: &Rc<Self>) {
         self.pools.take_targets(self);
         self.placements.take_targets(self);
         self.pools.hand_over(self);
     }
 
-    /// The same for those of some services.
-    fn pass_targets_on_of(self: &Rc<Self>, services: &BTreeSet<ServiceKey>) {
+    /// Updates queues and schedulers of some services with the usable targets.
+    fn propagate_targets_of(self: &Rc<Self>, services: &BTreeSet<ServiceKey>) {
         let Some(deployment) = self.deployment_in_use() else {
             return;
         };
@@ -229,123 +229,129 @@
         }
     }
 
-    /// A start of a target says that it leaves: it gets nothing new from now on. True when
-    /// that is news.
-    pub fn target_leaves(self: &Rc<Self>, start: &Incarnation) -> bool {
+    /// Takes a draining incarnation out of use. True when it was not draining before.
+    pub fn mark_draining(self: &Rc<Self>, incarnation: &Incarnation) -> bool {
         let now = self.clock.now();
-        let is_news = self.targets.borrow_mut().says_leaving(now, start);
-        if is_news {
+        let has_changed = self.targets.borrow_mut().says_leaving(now, incarnation);
+        if has_changed {
             self.pass_targets_on();
         }
-        is_news
+        has_changed
     }
 
-    /// A start of a target names a limit, or none. True when its limit is another one now.
-    pub fn target_names_limit(self: &Rc<Self>, start: &Incarnation, word: LimitWord) -> bool {
+    /// Records the reported limit of an incarnation. True when the limit changed.
+    pub fn record_target_limit(
+        self: &Rc<Self>,
+        incarnation: &Incarnation,
+        report: LimitWord,
+    ) -> bool {
         let now = self.clock.now();
-        let is_news = self.targets.borrow_mut().names_limit(now, start, word);
-        if is_news {
+        let has_changed = self
+            .targets
+            .borrow_mut()
+            .names_limit(now, incarnation, report);
+        if has_changed {
             self.pass_targets_on();
         }
-        is_news
+        has_changed
     }
 
-    /// True when a word of a start that can't be read, or isn't known, is to be told again.
-    pub fn is_odd_word_due(&self, start: &Incarnation, word: &str) -> bool {
-        let subject = (start.id.clone(), word.to_string());
+    /// True when an unusable header of an incarnation may be logged again.
+    pub fn is_header_log_due(&self, incarnation: &Incarnation, header: &str) -> bool {
+        let subject = (incarnation.id.clone(), header.to_string());
         let now = self.clock.now();
-        self.odd_words.borrow_mut().is_due(now, subject)
+        self.header_log.borrow_mut().is_due(now, subject)
     }
 
-    /// True while some target of the service of that name is cold or names a limit: what all
-    /// entries together send there has to be known in one place.
+    /// True while a target of the service is warming up or reports a limit: requests of all
+    /// entries have to go through the scheduler.
     pub fn is_rationed(&self, service: &str) -> bool {
         self.with_targets(service, |targets| {
             targets.iter().any(|target| target.is_rationed())
         })
     }
 
-    /// A start of a target wants nothing from this entry for a time. True when that is
-    /// longer than it said before.
-    pub fn target_rests(&self, start: &Incarnation, rest: Duration) -> bool {
-        let rest_ms = Millis::try_from(rest.as_millis()).unwrap_or(Millis::MAX);
+    /// Records a backoff that an incarnation asked for. True when it extends the current one.
+    pub fn record_backoff(&self, incarnation: &Incarnation, backoff: Duration) -> bool {
+        let backoff_ms = Millis::try_from(backoff.as_millis()).unwrap_or(Millis::MAX);
         let now = self.clock.now();
-        self.targets.borrow_mut().asks_rest(now, start, rest_ms)
+        self.targets
+            .borrow_mut()
+            .asks_rest(now, incarnation, backoff_ms)
     }
 
-    /// Until when a target wants nothing from this entry, if it does now.
+    /// End of a target's backoff, if it is backing off.
     pub fn rests_until(&self, target: &Target) -> Option<Millis> {
         let targets = self.targets.borrow();
         targets.rests_until(self.clock.now(), target.incarnation())
     }
 
-    /// True the first time that this entry is to tell all others that a target leaves.
-    pub fn pass_leaving_on(&self, start: &Incarnation) -> bool {
-        self.targets.borrow_mut().pass_on(start)
+    /// True the first time that this entry broadcasts that a target is draining.
+    pub fn mark_draining_broadcast(&self, incarnation: &Incarnation) -> bool {
+        self.targets.borrow_mut().pass_on(incarnation)
     }
 
-    /// The configuration in force, if one is known. Looks for a newer view
-    /// first, so that a decision never lags behind what control knows.
+    /// The current configuration, if one is known. Applies a newer view first.
     pub fn deployment(self: &Rc<Self>) -> Option<Arc<Deployment>> {
-        self.take_view();
+        self.update_view();
         self.view.borrow().deployment.clone()
     }
 
-    /// The configuration in force, waiting for the first one if none is known.
+    /// The current configuration; waits until one is known.
     pub async fn first_deployment(self: &Rc<Self>) -> Arc<Deployment> {
         loop {
-            let told = self.configured.notified();
+            let configured = self.configured.notified();
             if let Some(deployment) = self.deployment() {
                 return deployment;
             }
-            told.await;
+            configured.await;
         }
     }
 
-    /// The view in use, after a look for a newer one.
+    /// The current view. Applies a newer one first.
     pub fn view(self: &Rc<Self>) -> Arc<View> {
-        self.take_view();
+        self.update_view();
         self.view.borrow().clone()
     }
 
-    /// The configuration of the view in use.
+    /// The configuration of the view in use, without a check for a newer one.
     pub fn deployment_in_use(&self) -> Option<Arc<Deployment>> {
         self.view.borrow().deployment.clone()
     }
 
-    /// True when new connections may come.
+    /// True when new connections are accepted.
     pub fn is_ready(self: &Rc<Self>) -> bool {
         self.stopping.get() == Stopping::No && self.deployment().is_some()
     }
 
-    /// Targets by service.
+    /// All usable targets by service.
     pub fn targets(&self) -> Ref<'_, TargetTable> {
         self.targets.borrow()
     }
 
-    /// A usable target by its incarnation.
+    /// The usable target with this incarnation.
     pub fn target(&self, incarnation: &Incarnation) -> Option<Rc<Target>> {
         self.targets.borrow().get(incarnation)
     }
 
-    /// Usable targets of the service of that name.
+    /// Usable targets of a service, by its name.
     pub fn targets_named(&self, service: &str) -> Vec<Rc<Target>> {
         self.with_targets(service, <[Rc<Target>]>::to_vec)
     }
 
-    /// How many usable targets the service of that name has.
+    /// Number of usable targets of a service, by its name.
     pub fn target_count(&self, service: &str) -> usize {
         self.with_targets(service, <[Rc<Target>]>::len)
     }
 
-    /// Looks at the usable targets of the service of that name.
-    pub fn with_targets<T>(&self, service: &str, look: impl FnOnce(&[Rc<Target>]) -> T) -> T {
+    /// Passes the usable targets of a service to `read`, without copying them.
+    pub fn with_targets<T>(&self, service: &str, read: impl FnOnce(&[Rc<Target>]) -> T) -> T {
         let view = self.view.borrow();
         let deployment = view.deployment.as_ref();
         let key = deployment.and_then(|deployment| deployment.service_named(service));
         match key {
-            Some(key) => look(self.targets.borrow().of(key)),
-            None => look(&[]),
+            Some(key) => read(self.targets.borrow().of(key)),
+            None => read(&[]),
         }
     }
 
@@ -354,7 +360,7 @@
         self.view.borrow().number
     }
 
-    /// Runs a change on the retry budget of a service.
+    /// Passes the retry budget of a service to `change`.
     pub fn with_budget<T>(
         &self,
         deployment: &Deployment,
@@ -373,20 +379,19 @@
         change(budget)
     }
 
-    /// What a request at a service typically takes; `None` before it is known.
+    /// Median latency of a service in milliseconds; `None` before it is known.
     pub fn typical_ms(&self, deployment: &Deployment, service: ServiceKey) -> Option<Millis> {
         let name = &deployment.service(service).name;
         self.latencies.borrow().get(name)?.quantile(0.5)
     }
 
-    /// What the slowest of a hundred requests at a service takes; `None` before it is
-    /// known.
+    /// 99th percentile of the latency of a service in milliseconds; `None` before it is known.
     pub fn slowest_ms(&self, deployment: &Deployment, service: ServiceKey) -> Option<Millis> {
         let name = &deployment.service(service).name;
         self.latencies.borrow().get(name)?.quantile(0.99)
     }
 
-    /// Takes the time of one request at a service.
+    /// Records the latency of a request.
     pub fn record_latency(&self, deployment: &Deployment, service: ServiceKey, ms: Millis) {
         let name = &deployment.service(service).name;
         let mut latencies = self.latencies.borrow_mut();
@@ -394,7 +399,7 @@
         window.record(self.clock.now(), ms);
     }
 
-    /// Takes the time from a send to the first event of a generation.
+    /// Records the time from the send of a generation to its first event.
     pub fn record_reading(
         &self,
         deployment: &Deployment,
@@ -403,12 +408,12 @@
         took: Duration,
     ) {
         let name = &deployment.service(service).name;
-        let mut readings = self.readings.borrow_mut();
-        let times = readings.entry(name.clone()).or_default();
+        let mut prefill_times = self.prefill_times.borrow_mut();
+        let times = prefill_times.entry(name.clone()).or_default();
         times.record(own_tokens, took.as_millis() as u64);
     }
 
-    /// About the time from a send to the first event of a generation.
+    /// Expected time from the send of a generation to its first event.
     pub fn reading_time(
         &self,
         deployment: &Deployment,
@@ -416,9 +421,9 @@
         own_tokens: u64,
     ) -> Duration {
         let name = &deployment.service(service).name;
-        let readings = self.readings.borrow();
+        let prefill_times = self.prefill_times.borrow();
         let unknown = ReadingTimes::default();
-        let times = readings.get(name).unwrap_or(&unknown);
+        let times = prefill_times.get(name).unwrap_or(&unknown);
         Duration::from_millis(times.expected_ms(own_tokens))
     }
 }
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -1,4 +1,4 @@
-//! What traffic knows of the world: one immutable snapshot.
+//! Immutable snapshot of the fleet's state, passed from control to traffic.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -14,52 +14,53 @@
 use crate::peers::PeerRecord;
 use crate::rollouts::{PlacedOrder, Records};
 
-/// The configuration in force, the targets that may get new work, the peers.
+/// The configuration, the targets that may get new work, and the peers.
 #[derive(Debug, Default)]
 pub struct View {
-    /// Rises with each publication.
+    /// Increases with each publication.
     pub number: u64,
-    /// Absent until the first one is known.
+    /// Absent until the first configuration is known.
     pub deployment: Option<Arc<Deployment>>,
-    /// The same as it lies in the store, for peers that can't read it there.
+    /// The configuration as stored, for peers that cannot reach the store.
     pub source: Option<Arc<[u8]>>,
-    /// The targets; the same one in the next view unless they changed.
+    /// Shared with the previous view unless the targets changed.
     pub targets: Arc<Targets>,
-    /// The halls whose targets get nothing new.
+    /// Evacuated halls, whose targets get nothing new.
     pub emptied: EmptiedHalls,
-    /// All records, for the same peers; absent while the store is away here.
+    /// All target records, for peers that cannot reach the store; absent while this entry
+    /// cannot reach it either.
     pub records: Option<KnownRecords>,
-    /// Live entries, this one included once it is known to the store; the same ones in the
-    /// next view unless they changed.
+    /// Live entries, including this one once its record is in the store. Shared with the
+    /// previous view unless they changed.
     pub peers: Arc<[PeerRecord]>,
-    /// Requests that are refused since they end targets.
+    /// Refused requests that crash targets.
     pub refused: Refused,
-    /// The operators' orders to roll versions out.
+    /// Rollout orders of the operators.
     pub orders: Vec<PlacedOrder>,
-    /// What leaders of roll-outs wrote to the store.
+    /// Rollout phases recorded in the store.
     pub rollout_records: Records,
 }
 
-/// The targets, as their records and the operators' words on halls tell.
+/// The targets according to their records and the evacuated halls.
 #[derive(Debug, Default)]
 pub struct Targets {
-    /// Those that may get new work.
+    /// Targets that may get new work.
     pub usable: Vec<UsableTarget>,
-    /// Those whose records say that they leave.
+    /// Targets whose records say that they are draining.
     pub leaving: Vec<Incarnation>,
-    /// Names of services whose usable targets all lie in emptied halls.
+    /// Services whose usable targets are all in evacuated halls.
     pub emptied_services: BTreeSet<String>,
 }
 
-/// All targets' records as of a position of the store.
+/// All target records at a store position.
 #[derive(Debug)]
 pub struct KnownRecords {
     pub at: Position,
-    /// Each with the position of its last change.
+    /// Each with the store position of its last change.
     pub records: Arc<[(Position, Arc<TargetRecord>)]>,
 }
 
-/// Where control puts views and traffic finds them.
+/// Holds the current view; control publishes it, traffic loads it.
 #[derive(Debug, Default)]
 pub struct Published {
     current: ArcSwap<View>,
@@ -67,18 +68,18 @@
 }
 
 impl Published {
-    /// The newest view.
+    /// The current view.
     pub fn load(&self) -> Arc<View> {
         self.current.load_full()
     }
 
-    /// Puts a view in force.
+    /// Replaces the current view.
     pub fn publish(&self, view: View) {
         self.current.store(Arc::new(view));
         self.changed.notify_one();
     }
 
-    /// Waits until a view is put in force that no earlier wait told of.
+    /// Waits until a view is published that no earlier call has reported.
     pub async fn changed(&self) {
         self.changed.notified().await;
     }
