--- a/crates/gateway/tests/suite/all_kinds.rs
+++ b/crates/gateway/tests/suite/all_kinds.rs
@@ -1,4 +1,4 @@
-//! A deployment with targets of all kinds, requests that reach each, and what they answer.
+//! A deployment with targets of all kinds, and requests and answers for each.
 
 use hollowsail_platform_standins::target::{
     answer, chunk, event, last_chunk, results, stream_head,
@@ -8,7 +8,7 @@
 
 use crate::fixture::{generation, Call};
 
-/// Plain targets, engines, and workers of stages whose calls take so long.
+/// Plain targets, engines, and stage workers whose calls take `call_ms`.
 pub fn deployment(call_ms: f64) -> DeploymentJson {
     let stages = json!([{ "service": "encoders", "after": [], "bytes": 1000 }]);
     DeploymentJson::new(1)
@@ -29,8 +29,7 @@
     call
 }
 
-/// A whole answer of any kind of target, by what it is asked for; `sign` puts on its head
-/// what the target says of itself.
+/// A complete answer of any kind of target, depending on the request; `sign` adds headers.
 pub fn whole_answer(seen: &Seen, sign: impl Fn(Vec<u8>) -> Vec<u8>) -> Vec<Step> {
     let is_stream = !seen.header("x-token-counts").is_empty();
     let head = match seen.path.as_str() {
--- a/crates/gateway/tests/suite/crashing.rs
+++ b/crates/gateway/tests/suite/crashing.rs
@@ -1,14 +1,7 @@
-//! Requests that end the targets that run them.
+//! Requests that crash the targets that run them.
 //!
-//! What users saw: one engine after the other stopped answering, some seventeen within
-//! fifteen seconds, and with each the streams that it had just then broke off, three times
-//! a day. Order of events: a caller sends a request whose content makes an engine end
-//! with its first token; its stream breaks; the caller sends the same again under a new
-//! id, to whichever entry; that one places it on the next engine. Cause: an entry takes
-//! the broken stream for a failure of the engine, and nothing counts what ended under a
-//! request, here or at the other entries. Evidence: with each broken stream of one content
-//! the engine refused connections at once, under ids that no two attempts share, and
-//! `attempts=1` says that no entry sent it twice.
+//! Guards against one fatal request crashing target after target when its caller repeats it
+//! under new ids and at other entries: crashes are counted by content, across all entries.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -25,9 +18,9 @@
 
 use crate::fixture::{eventually, gateway, until_entries, Answer, Call};
 
-/// Engines that may end under one request: fewer tell too little.
-const MOST_ENDED: usize = 3;
-/// Times that the caller sends its request.
+/// Engines that may crash under one request.
+const MAX_CRASHES: usize = 3;
+/// Number of times that the caller sends its request.
 const SENDS: usize = 9;
 
 fn deployment() -> DeploymentJson {
@@ -41,7 +34,7 @@
         .route("/safe/", "safe", "plain", json!({ "max_attempts": 6 }))
 }
 
-/// A request with an id of its own.
+/// A request with its own id.
 fn request(number: usize, body: &str) -> Call {
     Call::new("POST", "/once/x")
         .with("X-Request-Id", &format!("{number:016x}"))
@@ -50,8 +43,8 @@
         .body(body)
 }
 
-/// Ends with the first token of a fatal request; serves a long one slowly, so that it
-/// runs beside others.
+/// Crashes at the first token of a fatal request; serves a long one slowly, so that it runs
+/// beside others.
 fn fragile(seen: &Seen) -> Vec<Step> {
     let body = String::from_utf8_lossy(&seen.body);
     if body.starts_with("fatal") {
@@ -73,10 +66,10 @@
     steps
 }
 
-/// What a target does with each request.
+/// The steps of a target for each request.
 type Script = fn(&Seen) -> Vec<Step>;
 
-/// Targets of a service each of which starts again under a new id after it ended.
+/// Targets of a service, each of which is replaced under a new id after a crash.
 struct Targets {
     store: StoreStandin,
     service: &'static str,
@@ -111,22 +104,22 @@
         self.started.borrow_mut().push((id, target));
     }
 
-    /// Starts another one for each that ended, whose record goes.
-    async fn replace_ended(&self) {
-        let ended: Vec<String> = {
+    /// Replaces each crashed target, whose record is deleted.
+    async fn replace_crashed(&self) {
+        let crashed: Vec<String> = {
             let started = self.started.borrow();
-            let ended = started.iter().filter(|(_, target)| target.has_ended());
-            let ended = ended.map(|(id, _)| format!("servers/{id}"));
+            let crashed = started.iter().filter(|(_, target)| target.has_ended());
+            let crashed = crashed.map(|(id, _)| format!("servers/{id}"));
             let recorded = self.store.keys("servers/");
-            ended.filter(|key| recorded.contains(key)).collect()
+            crashed.filter(|key| recorded.contains(key)).collect()
         };
-        for key in ended {
+        for key in crashed {
             self.store.delete(&key);
             self.start_one().await;
         }
     }
 
-    fn ended(&self) -> usize {
+    fn crashed(&self) -> usize {
         let started = self.started.borrow();
         started
             .iter()
@@ -135,7 +128,7 @@
     }
 }
 
-/// A store, engines, and so many entries that know each other.
+/// A store, engines, and entries that know each other.
 async fn fleet(entries: usize, engines: usize) -> (StoreStandin, Rc<Targets>, Vec<Running>) {
     let store = StoreStandin::start().await;
     store.put("op/config", &deployment().bytes());
@@ -144,78 +137,85 @@
     for number in 0..entries {
         gateways.push(gateway(&store, &format!("host-{number}"), "hall-a").await);
     }
-    until_entries("all are recorded", &store, entries).await;
+    until_entries("all entries are registered", &store, entries).await;
     tokio::time::sleep(Duration::from_millis(400)).await;
     (store, engines, gateways)
 }
 
-/// Sends the same fatal request again and again, to one entry after the other.
+/// Sends the same fatal request repeatedly, to one entry after the other.
 async fn send_fatal(engines: &Targets, gateways: &[Running]) -> Vec<Answer> {
     let mut answers = Vec::new();
     for number in 0..SENDS {
-        let at = gateways[number % gateways.len()].at.callers;
-        answers.push(request(number, "fatal").send(at).await);
+        let addr = gateways[number % gateways.len()].at.callers;
+        answers.push(request(number, "fatal").send(addr).await);
         tokio::time::sleep(Duration::from_millis(150)).await;
-        engines.replace_ended().await;
+        engines.replace_crashed().await;
         tokio::time::sleep(Duration::from_millis(150)).await;
     }
     answers
 }
 
 #[actix_rt::test]
-async fn a_request_under_which_three_targets_ended_is_refused_at_every_entry() {
+async fn request_is_refused_after_three_crashes() {
     let (_store, engines, gateways) = fleet(3, 4).await;
     let answers = send_fatal(&engines, &gateways).await;
-    assert_eq!(engines.ended(), MOST_ENDED, "of {SENDS} sends: {answers:?}");
-    for refused in &answers[MOST_ENDED..] {
+    assert_eq!(
+        engines.crashed(),
+        MAX_CRASHES,
+        "of {SENDS} sends: {answers:?}"
+    );
+    for refused in &answers[MAX_CRASHES..] {
         assert_eq!(refused.status, 503, "{refused:?}");
-        assert!(refused.header("retry-after").is_some(), "when to come back");
+        assert!(
+            refused.header("retry-after").is_some(),
+            "the refusal says when to retry"
+        );
     }
     let good = request(100, "short").send(gateways[0].at.callers).await;
-    assert!(good.is_whole, "others are served: {good:?}");
+    assert!(good.is_whole, "other requests are served: {good:?}");
 }
 
 #[actix_rt::test]
-async fn good_requests_that_ran_beside_a_fatal_one_are_served_when_they_come_again() {
+async fn bystanders_of_fatal_request_are_served() {
     let (_store, engines, gateways) = fleet(2, 1).await;
     let broken = |number: usize| {
-        let at = gateways[number % 2].at.callers;
+        let addr = gateways[number % 2].at.callers;
         async move {
-            let mut good = request(100 + number, "long").begin(at).await;
+            let mut good = request(100 + number, "long").begin(addr).await;
             let mut buf = [0; 64];
-            good.read_exact(&mut buf).await.expect("it begins");
-            request(number, "fatal").send(at).await
+            good.read_exact(&mut buf).await.expect("the stream begins");
+            request(number, "fatal").send(addr).await
         }
     };
-    // One engine: whatever runs is beside the fatal request.
+    // One engine, so that all requests run beside the fatal one.
     for number in 0..2 {
         broken(number).await;
-        eventually("the engine ended", || engines.ended() == number + 1).await;
-        engines.replace_ended().await;
+        eventually("the engine crashes", || engines.crashed() == number + 1).await;
+        engines.replace_crashed().await;
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
     let again = request(200, "long").send(gateways[0].at.callers).await;
     assert!(again.is_whole, "served between two crashes: {again:?}");
     broken(2).await;
-    eventually("the third ended", || engines.ended() == 3).await;
-    engines.replace_ended().await;
+    eventually("the third engine crashes", || engines.crashed() == 3).await;
+    engines.replace_crashed().await;
     tokio::time::sleep(Duration::from_millis(300)).await;
     let again = request(201, "long").send(gateways[1].at.callers).await;
-    assert!(again.is_whole, "it isn't to blame: {again:?}");
+    assert!(again.is_whole, "it did not cause the crash: {again:?}");
 }
 
 #[actix_rt::test]
-async fn an_entry_that_starts_later_refuses_what_ended_targets_before() {
+async fn new_entry_refuses_known_fatal_request() {
     let (store, engines, gateways) = fleet(2, 4).await;
     send_fatal(&engines, &gateways).await;
-    let ended = engines.ended();
+    let crashed = engines.crashed();
     let late = gateway(&store, "host-late", "hall-a").await;
     tokio::time::sleep(Duration::from_millis(300)).await;
     let got = request(300, "fatal").send(late.at.callers).await;
-    assert_eq!((got.status, engines.ended()), (503, ended), "{got:?}");
+    assert_eq!((got.status, engines.crashed()), (503, crashed), "{got:?}");
 }
 
-/// A piece of a request whose id begins so ends its worker.
+/// Prefix of the ids of requests whose pieces crash their worker.
 const FATAL_ID: &str = "fa7a1";
 
 fn fragile_worker(seen: &Seen) -> Vec<Step> {
@@ -230,7 +230,7 @@
     }
 }
 
-/// A request with two pieces before it.
+/// A request with two pieces.
 fn staged(id: &str, body: &str) -> Call {
     Call::new("POST", "/staged/x")
         .with("X-Request-Id", id)
@@ -242,39 +242,43 @@
         .body(body)
 }
 
-/// The same fault one stage earlier: a piece that ends its worker was made again four
-/// times for each send of its request, and others in its calls went down with it.
+/// Guards against repeating a piece that crashes its workers, and against failing other pieces
+/// in the same calls.
 #[actix_rt::test]
-async fn pieces_that_end_their_workers_are_made_alone_and_then_refused() {
+async fn fatal_pieces_run_isolated_then_refused() {
     let (store, _engines, gateways) = fleet(2, 2).await;
     let workers = Targets::start(&store, "encoders", fragile_worker, 3).await;
     tokio::time::sleep(Duration::from_millis(300)).await;
     let mut last = None;
     for send in 0..4 {
-        let at = |number: usize| gateways[number % 2].at.callers;
+        let addr = |number: usize| gateways[number % 2].at.callers;
         let fatal = staged(&format!("{FATAL_ID}{send:011x}"), "fatal");
         let good = (0..6).map(|number| {
             let id = format!("{send:08x}{number:08x}");
-            async move { staged(&id, &format!("good {id}")).send(at(number)).await }
+            async move { staged(&id, &format!("good {id}")).send(addr(number)).await }
         });
         let replacing = async {
             for _ in 0..12 {
                 tokio::time::sleep(Duration::from_millis(50)).await;
-                workers.replace_ended().await;
+                workers.replace_crashed().await;
             }
         };
         let (got, served, ()) =
-            futures_util::future::join3(fatal.send(at(send)), join_all(good), replacing).await;
+            futures_util::future::join3(fatal.send(addr(send)), join_all(good), replacing).await;
         for answer in served {
             assert!(answer.is_whole, "send {send}: {answer:?}");
         }
         last = Some(got);
     }
-    let last = last.expect("it was sent");
+    let last = last.expect("the request was sent");
     assert_eq!(last.status, 503, "{last:?}");
     assert!(last.body.starts_with("ends_targets"), "{last:?}");
-    // 16 without. Two calls may hold pieces of it when the first worker ends.
-    assert!(workers.ended() <= 4, "{} workers ended", workers.ended());
+    // Two calls may contain its pieces when the first worker crashes.
+    assert!(
+        workers.crashed() <= 4,
+        "{} workers crashed",
+        workers.crashed()
+    );
 }
 
 fn fragile_plain(seen: &Seen) -> Vec<Step> {
@@ -284,10 +288,9 @@
     }
 }
 
-/// A request that may run again is sent to another target when one breaks off, at most
-/// six by its route here; without a look at why it broke, all of them ended at once.
+/// Guards against retrying a fatal request at all of the six targets that its route allows.
 #[actix_rt::test]
-async fn a_repeatable_request_ends_two_targets_at_most_before_its_caller_hears() {
+async fn fatal_request_retries_stop_at_two_crashes() {
     let (store, _engines, gateways) = fleet(2, 1).await;
     let targets = Targets::start(&store, "plain", fragile_plain, 8).await;
     tokio::time::sleep(Duration::from_millis(300)).await;
@@ -296,17 +299,17 @@
         let call = Call::new("POST", "/safe/x")
             .with("X-Request-Id", &id)
             .body(body);
-        let at = gateways[number % 2].at.callers;
-        async move { call.send(at).await }
+        let addr = gateways[number % 2].at.callers;
+        async move { call.send(addr).await }
     };
     let first = send(0, "fatal").await;
-    assert_eq!((first.status, targets.ended()), (502, 2), "{first:?}");
+    assert_eq!((first.status, targets.crashed()), (502, 2), "{first:?}");
     for number in 1..4 {
-        // Word of what ended reaches the other entry.
+        // Time for the verdict to reach the other entry.
         tokio::time::sleep(Duration::from_millis(50)).await;
         send(number, "fatal").await;
     }
-    assert_eq!(targets.ended(), MOST_ENDED);
+    assert_eq!(targets.crashed(), MAX_CRASHES);
     assert_eq!(send(5, "fatal").await.status, 503);
     assert!(send(6, "good").await.is_whole);
 }
--- a/crates/gateway/tests/suite/leaving.rs
+++ b/crates/gateway/tests/suite/draining.rs
@@ -1,13 +1,7 @@
-//! Targets that say in their answers that they leave.
+//! Targets that report in their answers that they are draining.
 //!
-//! What users saw: requests still reached an engine 3.2 and 3.8 s after the same entry had
-//! passed on an answer of it that said that it leaves. Order of events: the store falls
-//! silent; an engine says that it leaves, in all its answers and to the store, which takes
-//! that 13 s later; an entry passes such an answer on; the desk of another entry names the
-//! engine for the next request, and so on until the store is back. Cause: what a target
-//! says of itself in its answers was read by nobody; the store's record was the only word
-//! that anybody took. Evidence: no entry's log tells of any word on the engine between its
-//! answer and the store's return, and all of them stop with the store's record.
+//! Guards against sending requests to a draining target while the store is unreachable: the
+//! report in an answer has to take effect at all entries without the target's record.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -20,37 +14,40 @@
 use crate::all_kinds::{deployment, staged, whole_answer};
 use crate::fixture::{gateway, generation, runs, until_entries, Call, Fixture};
 
-/// Time of a call for pieces, by the configuration, in milliseconds.
+/// Configured time of a call for pieces, in milliseconds.
 const WORK_MS: f64 = 20.0;
-/// Sends after the word, enough that a target that is still chosen gets some.
+/// Requests after the report; enough that a target still in use receives some.
 const SENDS: usize = 24;
 
 fn plain() -> Call {
     Call::new("GET", "/a/x")
 }
 
-/// A target that says in all its answers that it leaves, as soon as it does.
-struct Leaver {
+/// A target that reports in all its answers that it is draining once `is_draining` is set.
+struct DrainingTarget {
     target: TargetStandin,
-    leaves: Rc<Cell<bool>>,
+    is_draining: Rc<Cell<bool>>,
 }
 
-impl Leaver {
+impl DrainingTarget {
     async fn start() -> Self {
-        let leaves = Rc::new(Cell::new(false));
-        let says = leaves.clone();
+        let is_draining = Rc::new(Cell::new(false));
+        let flag = is_draining.clone();
         let target = TargetStandin::start(move |seen| {
-            whole_answer(seen, |head| match says.get() {
+            whole_answer(seen, |head| match flag.get() {
                 true => leaving(head),
                 false => head,
             })
         })
         .await;
-        Leaver { target, leaves }
+        DrainingTarget {
+            target,
+            is_draining,
+        }
     }
 
     /// Requests and calls for pieces so far.
-    fn got(&self) -> usize {
+    fn request_count(&self) -> usize {
         let seen = self.target.seen();
         seen.iter()
             .filter(|seen| seen.path != "/-/stage-free")
@@ -58,11 +55,10 @@
     }
 }
 
-/// A store that has fallen silent, two targets of a service that were there before, and
-/// entries that know each other.
+/// A store, two targets of a service, and entries that know each other.
 struct Fleet {
     store: StoreStandin,
-    targets: [Leaver; 2],
+    targets: [DrainingTarget; 2],
     entries: Vec<Running>,
 }
 
@@ -70,16 +66,16 @@
     async fn start(service: &str, entries: usize) -> Self {
         let store = StoreStandin::start().await;
         store.put("op/config", &deployment(WORK_MS).bytes());
-        let targets = [Leaver::start().await, Leaver::start().await];
-        for (number, leaver) in targets.iter().enumerate() {
+        let targets = [DrainingTarget::start().await, DrainingTarget::start().await];
+        for (number, draining_target) in targets.iter().enumerate() {
             let id = format!("i-{number}");
-            store.put_target(&id, service, leaver.target.addr, "hall-a", "ready");
+            store.put_target(&id, service, draining_target.target.addr, "hall-a", "ready");
         }
         let mut running = Vec::new();
         for number in 0..entries {
             running.push(gateway(&store, &format!("host-{number}"), "hall-a").await);
         }
-        until_entries("all are recorded", &store, entries).await;
+        until_entries("all entries are registered", &store, entries).await;
         tokio::time::sleep(Duration::from_millis(400)).await;
         Fleet {
             store,
@@ -88,39 +84,54 @@
         }
     }
 
-    /// The store falls silent, a target says in its answers that it leaves, and the first
-    /// entry has passed one on. How many requests it has got by when all can know.
-    async fn leaves_in_silence(&self, leaver: &Leaver, request: impl Fn(usize) -> Call) -> usize {
+    /// Silences the store, lets a target drain, and sends requests to the first entry until it
+    /// has passed on an answer with the report. Returns the number of requests that the target
+    /// received by the time all entries have to know.
+    async fn drain_while_store_silent(
+        &self,
+        draining_target: &DrainingTarget,
+        request: impl Fn(usize) -> Call,
+    ) -> usize {
         self.store.set_mode(StoreMode::Silent);
-        leaver.leaves.set(true);
-        let before = leaver.got();
+        draining_target.is_draining.set(true);
+        let before = draining_target.request_count();
         for number in 0..200 {
             let at = self.entries[0].at.callers;
             request(1_000 + number).send(at).await;
-            if leaver.got() > before {
+            if draining_target.request_count() > before {
                 break;
             }
         }
-        assert!(leaver.got() > before, "it said so in an answer");
-        // The others hear of it from the first.
+        assert!(
+            draining_target.request_count() > before,
+            "an answer carried the report"
+        );
+        // Time for the broadcast to reach the other entries.
         tokio::time::sleep(Duration::from_millis(900)).await;
-        leaver.got()
+        draining_target.request_count()
     }
 
-    /// Sends requests to all entries, each of which is served.
-    async fn all_are_served(&self, request: impl Fn(usize) -> Call) {
+    /// Sends requests to all entries, each of which has to be served.
+    async fn assert_all_served(&self, request: impl Fn(usize) -> Call) {
         for number in 0..SENDS {
             let at = self.entries[number % self.entries.len()].at.callers;
             let got = request(2_000 + number).send(at).await;
-            assert!(got.status == 200 && got.is_whole, "others serve: {got:?}");
+            assert!(
+                got.status == 200 && got.is_whole,
+                "other targets serve: {got:?}"
+            );
         }
     }
 
-    /// Sends requests until a target has had one, and returns that target.
-    async fn until_used(&self, request: impl Fn(usize) -> Call) -> &Leaver {
+    /// Sends requests until a target has received one, and returns that target.
+    async fn until_used(&self, request: impl Fn(usize) -> Call) -> &DrainingTarget {
         for number in 0..200 {
             request(number).send(self.entries[0].at.callers).await;
-            if let Some(used) = self.targets.iter().find(|leaver| leaver.got() > 0) {
+            if let Some(used) = self
+                .targets
+                .iter()
+                .find(|draining_target| draining_target.request_count() > 0)
+            {
                 return used;
             }
         }
@@ -128,28 +139,34 @@
     }
 }
 
-/// One target says that it leaves while the store is silent; all entries are sent requests
-/// after the first has passed such an answer on.
-async fn leaves_while_the_store_is_silent(service: &str, request: fn(usize) -> Call) {
+/// Drains a target while the store is silent, and checks that no entry sends to it once the
+/// first has received the report.
+async fn no_entry_uses_target_draining_in_silence(service: &str, request: fn(usize) -> Call) {
     let fleet = Fleet::start(service, 3).await;
-    let leaver = fleet.until_used(request).await;
-    let told = fleet.leaves_in_silence(leaver, request).await;
-    fleet.all_are_served(request).await;
-    assert_eq!(leaver.got(), told, "a target that leaves gets no new work");
+    let draining_target = fleet.until_used(request).await;
+    let received = fleet
+        .drain_while_store_silent(draining_target, request)
+        .await;
+    fleet.assert_all_served(request).await;
+    assert_eq!(
+        draining_target.request_count(),
+        received,
+        "a draining target gets no new work"
+    );
 }
 
 #[actix_rt::test]
-async fn an_engine_that_says_so_gets_nothing_from_any_entry() {
-    leaves_while_the_store_is_silent("engines", generation).await;
+async fn draining_engine_gets_nothing_from_any_entry() {
+    no_entry_uses_target_draining_in_silence("engines", generation).await;
 }
 
 #[actix_rt::test]
-async fn a_plain_target_that_says_so_gets_nothing_from_any_entry() {
-    leaves_while_the_store_is_silent("plain", |_| plain()).await;
+async fn draining_plain_target_gets_nothing() {
+    no_entry_uses_target_draining_in_silence("plain", |_| plain()).await;
 }
 
 #[actix_rt::test]
-async fn a_worker_of_stages_that_says_so_gets_no_call() {
+async fn draining_stage_worker_gets_no_calls() {
     let fleet = Fleet::start("encoders", 2).await;
     let engine = TargetStandin::start(crate::fixture::one_event).await;
     let put = |state| {
@@ -159,16 +176,22 @@
     };
     put("ready");
     tokio::time::sleep(Duration::from_millis(400)).await;
-    let leaver = fleet.until_used(staged).await;
-    let told = fleet.leaves_in_silence(leaver, staged).await;
-    fleet.all_are_served(staged).await;
-    assert_eq!(leaver.got(), told, "a worker that leaves gets no call");
-    assert!(!runs(&leaver.target).is_empty());
+    let draining_target = fleet.until_used(staged).await;
+    let received = fleet
+        .drain_while_store_silent(draining_target, staged)
+        .await;
+    fleet.assert_all_served(staged).await;
+    assert_eq!(
+        draining_target.request_count(),
+        received,
+        "a draining worker gets no call"
+    );
+    assert!(!runs(&draining_target.target).is_empty());
 }
 
-/// An answer that ends a request badly says it as well as a good one.
+/// Guards against ignoring the report in an answer with an error status.
 #[actix_rt::test]
-async fn a_refusal_that_says_so_counts() {
+async fn report_in_a_refusal_applies() {
     let (fixture, target) = Fixture::serving(&deployment(WORK_MS), "plain", |seen| {
         let refusal = leaving(not_run(503));
         vec![Step::Write(match seen.before {
@@ -180,24 +203,25 @@
     fixture.call(&plain()).await;
     fixture.store.set_mode(StoreMode::Silent);
     plain().send(fixture.gateway.at.callers).await;
-    let told = target.seen().len();
+    let received = target.seen().len();
     for _ in 0..SENDS {
         let got = plain().send(fixture.gateway.at.callers).await;
-        assert_eq!(got.status, 503, "nobody is left to serve it");
+        assert_eq!(got.status, 503, "no target is left");
     }
-    assert_eq!(target.seen().len(), told);
+    assert_eq!(target.seen().len(), received);
 }
 
-/// The store may tell of the target again as it was, or drop its record and show it anew.
+/// Guards against using a draining target again when its record is written without the state,
+/// or is deleted and written again.
 #[actix_rt::test]
-async fn a_record_that_knows_nothing_of_it_brings_no_leaving_target_back() {
+async fn rewritten_record_keeps_reported_draining() {
     let fleet = Fleet::start("plain", 1).await;
-    let [leaver, _] = &fleet.targets;
-    leaver.leaves.set(true);
+    let [draining_target, _] = &fleet.targets;
+    draining_target.is_draining.set(true);
     let at = fleet.entries[0].at.callers;
-    eventually_says_so(leaver, at).await;
-    let told = leaver.got();
-    let addr = leaver.target.addr;
+    until_draining_reported(draining_target, at).await;
+    let received = draining_target.request_count();
+    let addr = draining_target.target.addr;
     let put = |state| {
         fleet
             .store
@@ -211,16 +235,17 @@
     for _ in 0..SENDS {
         assert_eq!(plain().send(at).await.status, 200);
     }
-    assert_eq!(leaver.got(), told);
+    assert_eq!(draining_target.request_count(), received);
 }
 
-/// What its record said once holds as long, too.
+/// Guards against using a target again whose record said that it is draining, when the record
+/// is written again without the state.
 #[actix_rt::test]
-async fn a_target_whose_record_said_so_stays_out_when_the_record_comes_back_without_it() {
+async fn rewritten_record_keeps_recorded_draining() {
     let fleet = Fleet::start("plain", 1).await;
-    let [leaver, _] = &fleet.targets;
+    let [draining_target, _] = &fleet.targets;
     let at = fleet.entries[0].at.callers;
-    let addr = leaver.target.addr;
+    let addr = draining_target.target.addr;
     let put = |state| {
         fleet
             .store
@@ -232,43 +257,42 @@
     tokio::time::sleep(Duration::from_millis(500)).await;
     put("ready");
     tokio::time::sleep(Duration::from_millis(500)).await;
-    let told = leaver.got();
+    let received = draining_target.request_count();
     for _ in 0..SENDS {
         assert_eq!(plain().send(at).await.status, 200);
     }
-    assert_eq!(leaver.got(), told);
+    assert_eq!(draining_target.request_count(), received);
 }
 
-/// The word is one of a start: the next one under the same id takes work.
+/// Guards against applying the report to the next incarnation of the same id.
 #[actix_rt::test]
-async fn its_next_start_gets_work_again() {
+async fn next_incarnation_gets_work() {
     let fixture = Fixture::start(&deployment(WORK_MS)).await;
-    let first = Leaver::start().await;
-    first.leaves.set(true);
+    let first = DrainingTarget::start().await;
+    first.is_draining.set(true);
     fixture
         .store
         .put_start("i-1", 1_000, "plain", first.target.addr);
     let at = fixture.gateway.at.callers;
-    eventually_says_so(&first, at).await;
-    let second = Leaver::start().await;
+    until_draining_reported(&first, at).await;
+    let second = DrainingTarget::start().await;
     fixture
         .store
         .put_start("i-1", 2_000, "plain", second.target.addr);
     for _ in 0..400 {
         plain().send(at).await;
-        if second.got() > 0 {
+        if second.request_count() > 0 {
             break;
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    assert!(second.got() > 0, "the next start serves");
+    assert!(second.request_count() > 0, "the next incarnation serves");
 }
 
-/// A target ended and another start has its address, while the store knows nothing of it:
-/// requests that were sent there one after the other were all turned away (108 to 117 of a
-/// day on which engines end while the store is silent).
+/// Guards against sending requests, one by one, to the address of a crashed target at which
+/// another incarnation rejects them.
 #[actix_rt::test]
-async fn a_start_whose_address_answers_for_another_gets_nothing_more() {
+async fn replaced_incarnation_gets_nothing_more() {
     let store = StoreStandin::start().await;
     store.put("op/config", &deployment(WORK_MS).bytes());
     let replaced = TargetStandin::start(|_| vec![Step::Write(not_run(421))]).await;
@@ -280,7 +304,7 @@
         gateway(&store, "host-1", "hall-a").await,
         gateway(&store, "host-2", "hall-a").await,
     ];
-    until_entries("all are recorded", &store, 3).await;
+    until_entries("all entries are registered", &store, 3).await;
     tokio::time::sleep(Duration::from_millis(400)).await;
     store.set_mode(StoreMode::Silent);
     for _ in 0..200 {
@@ -290,19 +314,23 @@
         }
     }
     tokio::time::sleep(Duration::from_millis(900)).await;
-    let told = replaced.seen().len();
-    assert!((1..=3).contains(&told), "{told}");
+    let received = replaced.seen().len();
+    assert!((1..=3).contains(&received), "{received}");
     for number in 0..SENDS {
         let got = plain().send(entries[number % 3].at.callers).await;
         assert_eq!(got.status, 200);
     }
-    assert_eq!(replaced.seen().len(), told, "all know that it has ended");
+    assert_eq!(
+        replaced.seen().len(),
+        received,
+        "all entries know of the crash"
+    );
 }
 
-/// The process at its address speaks for itself alone: once its record is there it is used,
-/// whatever its refusals of requests for the start before said.
+/// Guards against applying reports in rejections to the incarnation that sent them: it is used
+/// once its record is known.
 #[actix_rt::test]
-async fn another_start_at_the_address_says_nothing_of_its_own_next_words() {
+async fn rejections_do_not_drain_the_new_incarnation() {
     let (fixture, target) = Fixture::serving(&deployment(WORK_MS), "plain", |seen| {
         vec![Step::Write(match seen.header("x-expect-instance") {
             "i-1" if seen.before > 0 => leaving(not_run(421)),
@@ -320,11 +348,11 @@
     assert_eq!(expected.collect::<Vec<_>>(), ["i-1", "i-1", "i-2"]);
 }
 
-/// Sends requests until the target has said that it leaves.
-async fn eventually_says_so(leaver: &Leaver, at: std::net::SocketAddr) {
+/// Sends requests until the target has reported that it is draining.
+async fn until_draining_reported(draining_target: &DrainingTarget, at: std::net::SocketAddr) {
     for _ in 0..400 {
         plain().send(at).await;
-        if leaver.got() > 0 {
+        if draining_target.request_count() > 0 {
             return;
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
--- a/crates/gateway/tests/suite/fixture.rs
+++ b/crates/gateway/tests/suite/fixture.rs
@@ -1,4 +1,4 @@
-//! A gateway, a store, and callers.
+//! A gateway, a store, and callers for the tests.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -11,19 +11,22 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Longest wait for something that has to happen.
-const PATIENCE: Duration = Duration::from_secs(10);
-
-/// Waits until `is_so`; panics with `what` when it doesn't come.
-pub async fn eventually(what: &str, mut is_so: impl FnMut() -> bool) {
-    let until = Instant::now() + PATIENCE;
-    while !is_so() {
-        assert!(Instant::now() < until, "it did not come: {what}");
+/// Timeout for conditions that have to come true.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// Waits until `condition` is true; panics with `what` after a timeout.
+pub async fn eventually(what: &str, mut condition: impl FnMut() -> bool) {
+    let until = Instant::now() + WAIT_TIMEOUT;
+    while !condition() {
+        assert!(
+            Instant::now() < until,
+            "timed out after {WAIT_TIMEOUT:?}: {what}"
+        );
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// Settings of a gateway before a store.
+/// Settings of a gateway in a hall, with the store at `store`.
 pub fn settings(host: &str, hall: &str, store: SocketAddr) -> Settings {
     let text = format!(
         "node: {host}\nrole: gateway\nip: 127.0.0.1\nzone: {hall}\n\
@@ -34,17 +37,17 @@
          retry_budget_ratio: 0.2\n  retry_window_s: 10\n  retry_extra: 50\n\
          platform:\n  address: {store}\nheartbeat_ms: 1200\n"
     );
-    Settings::parse(&text).expect("the settings are whole")
+    Settings::parse(&text).expect("the settings are valid")
 }
 
-/// A configuration with one route, of repeatable requests, to one plain service.
+/// A configuration with one route for safe requests to one plain service.
 pub fn plain_deployment(version: u64, prefix: &str) -> DeploymentJson {
     DeploymentJson::new(version)
         .service("plain")
         .route(prefix, "safe", "plain", json!({}))
 }
 
-/// A generation whose prompt shares a part with all others, so that one engine keeps it.
+/// A generation whose prompt shares a prefix with all others, so that one engine caches it.
 pub fn generation(number: usize) -> Call {
     Call::new("POST", "/once/x")
         .with("X-Request-Id", &format!("{number:016x}"))
@@ -53,7 +56,7 @@
         .body("prompt")
 }
 
-/// What an engine answers: a whole stream of one event.
+/// An engine's answer: a complete stream with one event.
 pub fn one_event(seen: &Seen) -> Vec<Step> {
     vec![
         Step::Write(stream_head(seen)),
@@ -62,30 +65,30 @@
     ]
 }
 
-/// Calls for pieces, without those that give results up.
+/// Calls that run pieces, without those that release results.
 pub fn runs(target: &TargetStandin) -> Vec<Seen> {
     let runs = |seen: &Seen| seen.path == "/-/stage-run";
     target.seen().into_iter().filter(runs).collect()
 }
 
-/// An entry's record on the wire: run, host, address, hall, capacity.
+/// Fields of an entry's encoded record: run, host, address, hall, capacity.
 pub type EntryRecord = (u64, String, SocketAddr, String, u32);
 
-/// Puts the record of an entry into the store.
+/// Puts an entry's record into the store.
 pub fn put_entry_record(store: &StoreStandin, record: &EntryRecord) {
-    let value = rmp_serde::to_vec(record).expect("it encodes");
+    let value = rmp_serde::to_vec(record).expect("records always encode");
     store.put(
         &format!("hollowsail/peers/{}-{}", record.1, record.0),
         &value,
     );
 }
 
-/// Waits until so many entries have their record in the store.
+/// Waits until the store has `entries` records of entries.
 pub async fn until_entries(what: &str, store: &StoreStandin, entries: usize) {
     eventually(what, || store.keys("hollowsail/peers/").len() == entries).await;
 }
 
-/// A gateway and the store before it.
+/// A gateway and its store.
 pub struct Fixture {
     pub store: StoreStandin,
     pub gateway: Running,
@@ -100,7 +103,7 @@
         Fixture { store, gateway }
     }
 
-    /// Starts both and a target of a service, whose record is in the store.
+    /// Starts both and a target of a service, with its record in the store.
     pub async fn serving(
         deployment: &DeploymentJson,
         service: &str,
@@ -112,30 +115,29 @@
         (fixture, target)
     }
 
-    /// Puts a target of a service into the store.
+    /// Adds a target of a service to the store.
     pub fn add(&self, id: &str, service: &str, target: &TargetStandin) {
         self.store
             .put_target(id, service, target.addr, "hall-a", "ready");
     }
 
-    /// Sends a request until a target takes it: records need a moment to be
-    /// known.
+    /// Sends a request until a target receives it; records take a moment to arrive.
     pub async fn call(&self, req: &Call) -> Answer {
-        call_known(self.gateway.at.callers, req).await
+        call_until_served(self.gateway.at.callers, req).await
     }
 }
 
-/// Starts a gateway before a store and waits until it is ready.
+/// Starts a gateway and waits until it is ready.
 pub async fn gateway(store: &StoreStandin, host: &str, hall: &str) -> Running {
     gateway_at(settings(host, hall, store.addr)).await
 }
 
-/// Starts a gateway by its settings and waits until it is ready.
+/// Starts a gateway with some settings and waits until it is ready.
 pub async fn gateway_at(settings: Settings) -> Running {
     let running = start(settings, Mechanisms::default())
         .await
-        .expect("it starts");
-    let until = Instant::now() + PATIENCE;
+        .expect("the gateway starts");
+    let until = Instant::now() + WAIT_TIMEOUT;
     while ready_status(running.at.readiness).await != 200 {
         assert!(Instant::now() < until, "the gateway did not become ready");
         tokio::time::sleep(Duration::from_millis(5)).await;
@@ -143,7 +145,7 @@
     running
 }
 
-/// What the balancer is told.
+/// Status of the readiness check.
 pub async fn ready_status(addr: SocketAddr) -> u16 {
     let bytes = exchange(
         addr,
@@ -153,8 +155,8 @@
     Answer::parse(&bytes).map_or(0, |answer| answer.status)
 }
 
-async fn call_known(addr: SocketAddr, req: &Call) -> Answer {
-    let until = Instant::now() + PATIENCE;
+async fn call_until_served(addr: SocketAddr, req: &Call) -> Answer {
+    let until = Instant::now() + WAIT_TIMEOUT;
     loop {
         let answer = req.send(addr).await;
         if !answer.body.starts_with("no_target") || Instant::now() > until {
@@ -188,20 +190,18 @@
         }
     }
 
-    /// Sets a header.
     pub fn with(mut self, name: &str, value: &str) -> Self {
         self.headers.retain(|(known, _)| known != name);
         self.headers.push((name.into(), value.into()));
         self
     }
 
-    /// Sets the body.
     pub fn body(mut self, body: &str) -> Self {
         self.body = body.to_string();
         self
     }
 
-    /// The bytes of the request.
+    /// The encoded request.
     pub fn bytes(&self) -> Vec<u8> {
         let mut text = format!("{} {} HTTP/1.1\r\n", self.method, self.path);
         for (name, value) in &self.headers {
@@ -213,38 +213,41 @@
         format!("{text}Connection: close\r\n\r\n{}", self.body).into_bytes()
     }
 
-    /// Sends it on a new connection and leaves the answer to be read.
+    /// Sends the request on a new connection; the answer is left to be read.
     pub async fn begin(&self, addr: SocketAddr) -> TcpStream {
-        let mut caller = TcpStream::connect(addr).await.expect("it listens");
-        caller.write_all(&self.bytes()).await.expect("it reads");
+        let mut caller = TcpStream::connect(addr).await.expect("the server listens");
+        caller
+            .write_all(&self.bytes())
+            .await
+            .expect("the server reads");
         caller
     }
 
-    /// Sends it on a new connection and reads until that ends.
+    /// Sends the request on a new connection and reads until the connection closes.
     pub async fn send(&self, addr: SocketAddr) -> Answer {
         let bytes = exchange(addr, &self.bytes()).await;
-        Answer::parse(&bytes).expect("an answer came")
+        Answer::parse(&bytes).expect("a complete response head is received")
     }
 }
 
-/// Writes bytes and reads until the other side ends the connection.
+/// Writes bytes and reads until the other side closes the connection.
 pub async fn exchange(addr: SocketAddr, bytes: &[u8]) -> Vec<u8> {
-    let mut stream = TcpStream::connect(addr).await.expect("it listens");
-    stream.write_all(bytes).await.expect("it reads");
+    let mut stream = TcpStream::connect(addr).await.expect("the server listens");
+    stream.write_all(bytes).await.expect("the server reads");
     let mut all = Vec::new();
-    // A broken connection ends what is there.
-    let _ended = tokio::time::timeout(PATIENCE, stream.read_to_end(&mut all)).await;
+    // After a broken connection, returns what was received.
+    let _ended = tokio::time::timeout(WAIT_TIMEOUT, stream.read_to_end(&mut all)).await;
     all
 }
 
-/// What a caller got.
+/// An answer received by a caller.
 #[derive(Debug, Clone)]
 pub struct Answer {
     pub status: u16,
     pub head: String,
-    /// Without its chunks' frames.
+    /// Decoded from chunks.
     pub body: String,
-    /// Its end was there.
+    /// The body was received to its end.
     pub is_whole: bool,
 }
 
@@ -275,7 +278,6 @@
         })
     }
 
-    /// A header's value.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head
             .split("\r\n")
--- a/crates/gateway/tests/suite/main.rs
+++ b/crates/gateway/tests/suite/main.rs
@@ -1,12 +1,12 @@
-//! The daemon against small fakes of the platform, on loopback sockets.
+//! Tests of the gateway against stand-ins of the platform, on loopback sockets.
 
 mod all_kinds;
 mod cold;
 mod crashing;
+mod draining;
 mod emptied;
 mod fixture;
 mod forwarding;
-mod leaving;
 mod libraries;
 mod limited;
 mod limits;
--- a/crates/gateway/tests/suite/mechanisms.rs
+++ b/crates/gateway/tests/suite/mechanisms.rs
@@ -1,20 +1,20 @@
-//! Taking mechanisms out, for measurements.
+//! The command-line option that turns mechanisms off.
 
 use expect_test::expect;
 use hollowsail_gateway::{Mechanism, Mechanisms};
 
 #[test]
-fn all_are_on_but_those_that_are_named() {
+fn without_turns_off_named_mechanisms() {
     let all = Mechanisms::default();
     assert!(all.has(Mechanism::Desk) && all.has(Mechanism::Forecast));
-    let some = Mechanisms::without(&["desk".into(), "halls".into()]).expect("they are known");
+    let some = Mechanisms::without(&["desk".into(), "halls".into()]).expect("the names are known");
     assert!(!some.has(Mechanism::Desk) && !some.has(Mechanism::Halls));
     assert!(some.has(Mechanism::Forecast));
 }
 
 #[test]
-fn an_unknown_name_is_an_error_that_lists_the_known_ones() {
-    let err = Mechanisms::without(&["desks".into()]).expect_err("there is none");
+fn unknown_name_error_lists_known_names() {
+    let err = Mechanisms::without(&["desks".into()]).expect_err("the name is unknown");
     expect!["--without desks: no such mechanism; give one of shared-queues, desk, affinity, forecast, groups, halls, joint-finals, first-event, reading-times, route-priority, overdue"]
         .assert_eq(&err.to_string());
 }
--- a/crates/gateway/tests/suite/metrics.rs
+++ b/crates/gateway/tests/suite/metrics.rs
@@ -1,32 +1,32 @@
-//! The metrics address.
+//! The metrics listener.
 
 use hollowsail_platform_standins::target::{answer, limited};
 use hollowsail_platform_standins::{Seen, Step};
 
 use crate::fixture::{exchange, plain_deployment, Call, Fixture};
 
-/// A target may say what this build doesn't know, or can't read: it is served all the same,
-/// and operators can see that.
+/// Guards against failing a request when a target sends malformed or unrecognised headers;
+/// operators see them in a counter.
 #[actix_rt::test]
-async fn words_of_targets_that_nobody_reads_are_counted() {
+async fn unusable_target_headers_are_counted() {
     let script = |seen: &Seen| {
-        let odd = limited(answer(seen, 200, "ok"), "plenty\r\nServer-Mood: low");
-        vec![Step::Write(odd)]
+        let unusable = limited(answer(seen, 200, "ok"), "plenty\r\nServer-Mood: low");
+        vec![Step::Write(unusable)]
     };
     let (fixture, _target) =
         Fixture::serving(&plain_deployment(1, "/safe/"), "plain", script).await;
     assert_eq!(fixture.call(&Call::new("GET", "/safe/")).await.status, 200);
     let text = scrape(&fixture).await;
-    for word in ["limit", "server-mood"] {
-        let counter = format!("hollowsail_odd_words_total{{word=\"{word}\"}}");
+    for header in ["limit", "server-mood"] {
+        let counter = format!("hollowsail_odd_words_total{{word=\"{header}\"}}");
         assert!(text.contains(&counter), "{counter} is missing from\n{text}");
     }
 }
 
 async fn scrape(fixture: &Fixture) -> String {
-    let at = fixture.gateway.at.metrics.expect("it listens");
+    let addr = fixture.gateway.at.metrics.expect("metrics are enabled");
     let scrape = b"GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-    String::from_utf8(exchange(at, scrape).await).expect("text")
+    String::from_utf8(exchange(addr, scrape).await).expect("metrics are UTF-8")
 }
 
 #[actix_rt::test]
--- a/crates/gateway/tests/suite/stopping.rs
+++ b/crates/gateway/tests/suite/stopping.rs
@@ -1,4 +1,4 @@
-//! A planned stop.
+//! Planned stops of the gateway.
 
 use std::time::{Duration, Instant};
 
@@ -8,7 +8,7 @@
 
 use crate::fixture::{plain_deployment, ready_status, settings, until_entries, Call, Fixture};
 
-/// A gateway that knows one target, which answers after a time.
+/// A gateway with one target, which answers after `after`.
 async fn serving(after: Duration) -> (Running, TargetStandin) {
     let script =
         move |seen: &Seen| vec![Step::Wait(after), Step::Write(answer(seen, 200, "whole"))];
@@ -18,25 +18,28 @@
 }
 
 #[actix_rt::test]
-async fn a_request_that_comes_when_the_balancer_has_long_been_told_is_refused_as_not_run() {
+async fn requests_late_in_a_stop_are_refused() {
     let (gateway, target) = serving(Duration::from_millis(1_900)).await;
     let at = gateway.at.clone();
     let stopping = actix_rt::spawn(gateway.stop());
     tokio::time::sleep(Duration::from_millis(100)).await;
     let long = actix_rt::spawn(async move { Call::new("GET", "/safe/").send(at.callers).await });
-    // Half of the grace of three seconds is over.
+    // Past half of the grace period of three seconds.
     tokio::time::sleep(Duration::from_millis(1_600)).await;
     let before = target.seen().len();
     let late = Call::new("GET", "/safe/").send(at.callers).await;
-    assert_eq!(late.status, 503, "it could not end before the process does");
+    assert_eq!(
+        late.status, 503,
+        "it cannot finish before the process exits"
+    );
     assert!(late.header("retry-after").is_some());
     assert_eq!(target.seen().len(), before);
-    assert!(long.await.expect("it is answered").is_whole);
-    stopping.await.expect("it ends");
+    assert!(long.await.expect("the request is answered").is_whole);
+    stopping.await.expect("the stop ends");
 }
 
 #[actix_rt::test]
-async fn a_stop_is_not_ready_at_once_takes_late_requests_and_cuts_none() {
+async fn stop_is_unready_and_serves_early_requests() {
     let (gateway, _target) = serving(Duration::from_millis(900)).await;
     let at = gateway.at.clone();
     let early = actix_rt::spawn(async move { Call::new("GET", "/safe/").send(at.callers).await });
@@ -49,15 +52,15 @@
     assert_eq!(
         (late.status, late.is_whole),
         (200, true),
-        "the balancer lags"
+        "the load balancer may still send connections"
     );
-    let early = early.await.expect("it is answered");
+    let early = early.await.expect("the request is answered");
     assert_eq!((early.status, early.is_whole), (200, true));
-    stopping.await.expect("it ends");
+    stopping.await.expect("the stop ends");
 }
 
 #[actix_rt::test]
-async fn a_stop_before_the_store_has_answered_for_the_record_leaves_none() {
+async fn stop_during_registration_removes_the_record() {
     let store = StoreStandin::start().await;
     store.put("op/config", &plain_deployment(1, "/safe/").bytes());
     store.set_mode(StoreMode::Slow);
@@ -66,14 +69,14 @@
         Mechanisms::default(),
     )
     .await
-    .expect("it starts");
+    .expect("the gateway starts");
     until_entries("the record is written", &store, 1).await;
     let stopping = actix_rt::spawn(gateway.stop());
     let begun = Instant::now();
     until_entries("the record is gone", &store, 0).await;
     assert!(
         begun.elapsed() < Duration::from_secs(3),
-        "long before its lease is over"
+        "long before its lease expires"
     );
-    stopping.await.expect("it ends");
+    stopping.await.expect("the stop ends");
 }
--- a/crates/gateway/tests/suspended/main.rs
+++ b/crates/gateway/tests/suspended/main.rs
@@ -1,4 +1,5 @@
-//! A host that was suspended. A program of its own: the whole process sleeps.
+//! Tests of a host that was suspended. A separate program, since the simulated suspension
+//! holds for the whole process.
 
 #[path = "../suite/fixture.rs"]
 #[allow(dead_code)]
@@ -14,37 +15,38 @@
 
 use fixture::{one_event, plain_deployment, runs, Call, Fixture};
 
-/// How long the host sleeps: longer than any caller here waits.
-const SLEEP: Duration = Duration::from_secs(10);
+/// Duration of the suspension: longer than any deadline here.
+const SUSPENSION: Duration = Duration::from_secs(10);
 
-/// One test at a time: what one pretends holds for all.
+/// Runs one test at a time, since a suspension affects all.
 static ONE_AT_A_TIME: Mutex<()> = Mutex::const_new(());
 
 fn call(path: &str) -> Call {
     Call::new("GET", path).with("X-Deadline-Ms", "3000")
 }
 
-/// Its caller has given it up by then, so no other target is asked.
+/// Guards against retrying a request whose deadline passed during the suspension.
 #[actix_rt::test]
-async fn a_request_whose_time_passed_in_the_sleep_is_not_sent_again() {
+async fn expired_request_is_not_retried_after_resume() {
     let _one = ONE_AT_A_TIME.lock().await;
     let fixture = Fixture::start(&plain_deployment(1, "/a/")).await;
-    let sleeps_and_breaks = |seen: &Seen| {
+    let suspends_and_resets = |seen: &Seen| {
         if seen.before > 0 {
             return vec![Step::Write(answer(seen, 200, "again"))];
         }
-        suspend(SLEEP);
+        suspend(SUSPENSION);
         vec![Step::Reset]
     };
-    let one = TargetStandin::start(sleeps_and_breaks).await;
+    let one = TargetStandin::start(suspends_and_resets).await;
     fixture.add("i-1", "plain", &one);
     let got = fixture.call(&call("/a/x")).await;
     assert_eq!((got.status, one.seen().len()), (504, 1), "{got:?}");
 }
 
-/// A connection that rested through the sleep may be closed at the other end.
+/// Guards against using a connection from before the suspension, which the other end may have
+/// closed.
 #[actix_rt::test]
-async fn a_request_that_may_run_once_uses_no_connection_from_before_the_sleep() {
+async fn unsafe_request_uses_new_connection_on_resume() {
     let _one = ONE_AT_A_TIME.lock().await;
     let deployment =
         DeploymentJson::new(1)
@@ -55,16 +57,16 @@
     fixture.add("i-1", "plain", &target);
     fixture.call(&call("/once/x")).await;
     fixture.call(&call("/once/x")).await;
-    assert_eq!(target.connections(), 1, "one is used again");
-    suspend(SLEEP);
+    assert_eq!(target.connections(), 1, "the connection is reused");
+    suspend(SUSPENSION);
     assert!(fixture.call(&call("/once/x")).await.is_whole);
     assert_eq!(target.connections(), 2);
 }
 
-/// An owner of a queue wakes: the pieces that waited there are of no use any more, and
-/// what comes then is made.
+/// Guards against running pieces that expired in the owner's queue during the suspension, and
+/// against refusing later ones.
 #[actix_rt::test]
-async fn pieces_that_waited_through_the_sleep_are_not_made() {
+async fn expired_pieces_are_not_run_after_resume() {
     let _one = ONE_AT_A_TIME.lock().await;
     let stages = json!([{ "service": "encoders", "after": [], "bytes": 1000 }]);
     let deployment = DeploymentJson::new(1)
@@ -96,20 +98,20 @@
             .with("X-Pieces", "1")
             .with("X-Piece-Key", "the-key")
     };
-    let at = fixture.gateway.at.callers;
+    let addr = fixture.gateway.at.callers;
     let (first, waiting) = (staged("00000000000000f1"), staged("00000000000000f2"));
-    let _first = first.begin(at).await;
+    let _first = first.begin(addr).await;
     tokio::time::sleep(Duration::from_millis(60)).await;
-    let _waiting = waiting.begin(at).await;
+    let _waiting = waiting.begin(addr).await;
     tokio::time::sleep(Duration::from_millis(60)).await;
-    suspend(SLEEP);
+    suspend(SUSPENSION);
     let begun = Instant::now();
     tokio::time::sleep(Duration::from_millis(600)).await;
     let pieces = runs(&worker);
     let pieces = pieces.iter().flat_map(Seen::pieces);
-    let made: Vec<String> = pieces.map(|piece| piece["id"].to_string()).collect();
-    assert!(made[0].contains("f1"), "{made:?}");
-    assert!(!made.iter().any(|id| id.contains("f2")), "{made:?}");
-    let after = staged("00000000000000f3").send(at).await;
+    let ran: Vec<String> = pieces.map(|piece| piece["id"].to_string()).collect();
+    assert!(ran[0].contains("f1"), "{ran:?}");
+    assert!(!ran.iter().any(|id| id.contains("f2")), "{ran:?}");
+    let after = staged("00000000000000f3").send(addr).await;
     assert!(after.is_whole, "{after:?} after {:?}", begun.elapsed());
 }
