--- a/crates/gateway/src/peers/link.rs
+++ b/crates/gateway/src/peers/link.rs
@@ -136,7 +136,8 @@
         }
     }
 
-    /// Has the peer produce a piece. Dropping the future cancels the piece.
+    /// Has the peer produce a piece; [`LinkLost`] when the peer is lost meanwhile. Dropping
+    /// the future cancels the piece.
     pub async fn make(self: &Rc<Self>, piece: MakePiece) -> RemoteOutcome {
         if self.is_closed.get() {
             return Err(LinkLost);
@@ -144,7 +145,7 @@
         let id = piece.id;
         let (tx, rx) = oneshot::channel();
         self.awaited.borrow_mut().insert(id, tx);
-        let _awaited = PendingPiece { link: self, id };
+        let _pending = PendingPiece { link: self, id };
         self.send(Message::Make(Box::new(piece)));
         self.probe_while_awaiting();
         rx.await.unwrap_or(Err(LinkLost))
@@ -154,14 +155,18 @@
     pub fn place(
         self: &Rc<Self>,
         id: PlacementId,
-        desk: String,
+        scheduler: String,
         demand: Demand<Incarnation>,
     ) -> PlacementRequest {
         let (tx, answers) = mpsc::unbounded_channel();
         if !self.is_closed.get() {
             self.awaited_placements.borrow_mut().insert(id, tx);
             let demand = Box::new(demand);
-            self.send(Message::Place { id, desk, demand });
+            self.send(Message::Place {
+                id,
+                desk: scheduler,
+                demand,
+            });
         }
         PlacementRequest {
             link: self.clone(),
@@ -188,8 +193,8 @@
 
     /// The outcome of a piece was received. False when no requester waits for it.
     pub fn complete_piece(&self, id: PieceId, end: PieceEnd) -> bool {
-        let waiter = self.awaited.borrow_mut().remove(&id);
-        waiter.is_some_and(|tx| tx.send(Ok(end)).is_ok())
+        let requester = self.awaited.borrow_mut().remove(&id);
+        requester.is_some_and(|tx| tx.send(Ok(end)).is_ok())
     }
 
     /// Records that the peer sent something.
--- a/crates/gateway/src/peers/listen.rs
+++ b/crates/gateway/src/peers/listen.rs
@@ -142,10 +142,10 @@
         .filter(|_| version > request.configuration);
     let newer = |known: &&KnownRecords| known.at > request.records;
     let records = view.records.as_ref().filter(newer);
-    let emptied = Some(&view.emptied).filter(|known| known.as_of() > request.emptied);
+    let evacuated = Some(&view.emptied).filter(|known| known.as_of() > request.emptied);
     let answer = StateAnswer {
         configuration: source.map(<[u8]>::to_vec),
-        emptied: emptied.cloned(),
+        emptied: evacuated.cloned(),
         records: records.map(RecordsAt::from),
         peers: view.peers.to_vec(),
         refused: cx.crashes.refused(cx),
@@ -181,9 +181,13 @@
     match message {
         Message::Make(piece) => cx.pools.take_piece(cx, from, *piece),
         Message::GiveUp(id) => cx.pools.give_up_piece(from.id, id),
-        Message::Place { id, desk, demand } => {
+        Message::Place {
+            id,
+            desk: scheduler,
+            demand,
+        } => {
             let link = cx.peers.link_to(cx, from);
-            cx.placements.take_ask(cx, &link, id, &desk, *demand);
+            cx.placements.take_ask(cx, &link, id, &scheduler, *demand);
         }
         Message::Placed(id, answer) => cx.peers.link_to(cx, from).on_placement_reply(id, answer),
         Message::PlacementStep(id, step) => cx.placements.take_step(cx, from.id, id, step),
@@ -202,7 +206,7 @@
         Message::TargetEnded { request, run } => cx.crashes.count(cx, request, run),
         Message::Standing { request, standing } => cx.crashes.on_verdict(cx, request, standing),
         Message::RolloutReport(report) => cx.rollouts.reported(cx, from, *report),
-        Message::RolloutPhase(told) => cx.rollouts.told(cx, from.id, &told),
+        Message::RolloutPhase(notice) => cx.rollouts.told(cx, from.id, &notice),
         Message::Ended(id, end) => {
             let link = cx.peers.link_to(cx, from);
             if !link.complete_piece(id, end) {
