--- a/crates/gateway/tests/suite/main.rs
+++ b/crates/gateway/tests/suite/main.rs
@@ -1,12 +1,12 @@
-//! The daemon against small fakes of the platform, on loopback sockets.
+//! Tests of the gateway against stand-ins of the platform, on loopback sockets.
 
 mod all_kinds;
 mod backoff;
 mod crashing;
+mod draining;
 mod evacuated_halls;
 mod fixture;
 mod forwarding;
-mod leaving;
 mod libraries;
 mod limits;
 mod mechanisms;
