--- a/crates/config/src/build.rs
+++ b/crates/config/src/build.rs
@@ -1,8 +1,8 @@
 //! Reads checked sections into the typed arenas of a [`Deployment`].
 //!
-//! Names are given arena positions first, so references may point forward and
-//! across files. A reference to nothing is a fault and reads as position 0;
-//! the deployment is dropped then.
+//! Names get their arena positions first, so references may point forward and
+//! across files. An unresolved reference is a fault and reads as position 0; a
+//! deployment with faults is discarded.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
 /// Names of one kind mapped to arena positions.
 type Names<'a> = HashMap<&'a str, u16>;
 
-/// What reads refer to.
+/// The sections, and the positions of the names that they refer to.
 pub struct Builder<'a> {
     sections: &'a [Section<'a>],
     halls: Names<'a>,
@@ -47,17 +47,17 @@
         }
     }
 
-    /// Reads everything.
+    /// Reads all sections; faults are recorded through the sections.
     pub fn build(&self) -> Deployment {
         let mut deployment = Deployment {
             name: self.deployment_name(),
             policy: self.policy(),
-            halls: self.each("hall", |s| self.read_hall(s)),
-            services: self.each("service", |s| self.read_service(s)),
-            targets: self.each("target", |s| self.read_target(s)),
-            models: self.each("model", |s| self.read_model(s)),
-            pipelines: self.each("pipeline", |s| self.read_pipeline(s)),
-            organisations: self.each("organisation", |s| self.read_organisation(s)),
+            halls: self.read_all("hall", |s| self.read_hall(s)),
+            services: self.read_all("service", |s| self.read_service(s)),
+            targets: self.read_all("target", |s| self.read_target(s)),
+            models: self.read_all("model", |s| self.read_model(s)),
+            pipelines: self.read_all("pipeline", |s| self.read_pipeline(s)),
+            organisations: self.read_all("organisation", |s| self.read_organisation(s)),
             by_key_hash: HashMap::new(),
             organisations_by_name: HashMap::new(),
         };
@@ -68,19 +68,19 @@
         deployment
     }
 
-    fn each<T>(&self, kind: &'a str, read: impl Fn(&'a Section<'a>) -> T) -> Vec<T> {
+    fn read_all<T>(&self, kind: &'a str, read: impl Fn(&'a Section<'a>) -> T) -> Vec<T> {
         of_kind(self.sections, kind)
             .take(MAX_ITEMS)
             .map(read)
             .collect()
     }
 
-    fn single(&self, kind: &str) -> Option<&'a Section<'a>> {
+    fn find_single(&self, kind: &str) -> Option<&'a Section<'a>> {
         self.sections.iter().find(|section| section.name() == kind)
     }
 
     fn deployment_name(&self) -> String {
-        self.single("deployment")
+        self.find_single("deployment")
             .map(|section| section.required("name").to_string())
             .unwrap_or_default()
     }
@@ -90,7 +90,7 @@
             attainment_weight: 0.5,
             retry_budget: 0.1,
         };
-        let Some(section) = self.single("policy") else {
+        let Some(section) = self.find_single("policy") else {
             return default;
         };
         Policy {
@@ -150,7 +150,7 @@
             section.fault(
                 "stages",
                 format!(
-                    "names {} stages; write {MIN_STAGES} to {MAX_STAGES}, comma-separated",
+                    "lists {} stages; write {MIN_STAGES} to {MAX_STAGES}, comma-separated",
                     stage_names.len()
                 ),
             );
@@ -173,7 +173,7 @@
             None => {
                 pipeline.fault(
                     "stages",
-                    format!("names {name}, but there is no [stage.{full}]"),
+                    format!("lists {name}, but [stage.{full}] is not defined"),
                 );
                 None
             }
@@ -196,7 +196,7 @@
     fn read_organisation(&self, section: &Section<'_>) -> Organisation {
         let halls = resolve_list(section, "halls", &self.halls);
         if halls.is_empty() {
-            section.fault("halls", "permits no hall; name at least one");
+            section.fault("halls", "permits no hall; list at least one");
         }
         Organisation {
             name: section.item_name().into(),
@@ -212,22 +212,22 @@
     }
 
     fn link_targets(&self, deployment: &mut Deployment) {
-        for (at, target) in deployment.targets.iter().enumerate() {
+        for (index, target) in deployment.targets.iter().enumerate() {
             if let Some(service) = deployment.services.get_mut(target.service.index()) {
-                service.targets.push(TargetKey(at as u16));
+                service.targets.push(TargetKey(index as u16));
             }
         }
         for (section, service) in of_kind(self.sections, "service").zip(&deployment.services) {
             if service.targets.is_empty() {
-                section.fault("", "has no [target.NAME] that names it; add one");
+                section.fault("", "has no targets; add a [target.NAME] with this service");
             }
         }
     }
 
     fn link_organisations(&self, deployment: &mut Deployment) {
         let sections = of_kind(self.sections, "organisation");
-        for ((at, org), section) in deployment.organisations.iter().enumerate().zip(sections) {
-            let key = OrganisationKey(at as u16);
+        for ((index, org), section) in deployment.organisations.iter().enumerate().zip(sections) {
+            let key = OrganisationKey(index as u16);
             deployment
                 .organisations_by_name
                 .insert(org.name.clone(), key);
@@ -235,7 +235,7 @@
                 if deployment.by_key_hash.insert(*hash, key).is_some() {
                     section.fault(
                         "key_sha256",
-                        "is another organisation's key; make a new one",
+                        "is already used by another organisation; create a new key",
                     );
                 }
             }
@@ -261,15 +261,21 @@
     fn report_unused_stages(&self, deployment: &Deployment) {
         for section in self.stages.values() {
             let (owner, name) = section.item_name().split_once('.').unwrap_or_default();
-            let Some(&at) = self.pipelines.get(owner) else {
-                section.fault("", format!("belongs to no [pipeline.{owner}]"));
+            let Some(&index) = self.pipelines.get(owner) else {
+                section.fault(
+                    "",
+                    format!("belongs to [pipeline.{owner}], which is not defined"),
+                );
                 continue;
             };
-            let pipeline = &deployment.pipelines[usize::from(at)];
+            let pipeline = &deployment.pipelines[usize::from(index)];
             if !pipeline.stages.iter().any(|stage| stage.name == name) {
-                // Reading it marks its fields as known.
+                // Marks its fields as read, so that they are not reported too.
                 self.read_stage(section, name);
-                section.fault("", format!("is not among the stages of [pipeline.{owner}]"));
+                section.fault(
+                    "",
+                    format!("is not listed in the stages of [pipeline.{owner}]"),
+                );
             }
         }
     }
@@ -292,17 +298,17 @@
     if let Some(extra) = all.get(MAX_ITEMS) {
         extra.fault(
             "",
-            format!("is one too many; at most {MAX_ITEMS} of a kind"),
+            format!("exceeds the limit of {MAX_ITEMS} sections of a kind"),
         );
     }
     all.iter()
         .take(MAX_ITEMS)
         .enumerate()
-        .map(|(at, section)| (section.item_name(), at as u16))
+        .map(|(index, section)| (section.item_name(), index as u16))
         .collect()
 }
 
-/// Position of the item that `key` names; a fault and 0 when there is none.
+/// Position of the item that `key` refers to; a fault and 0 when undefined.
 fn resolve(section: &Section<'_>, key: &str, names: &Names<'_>) -> u16 {
     let name = section.required(key);
     if name.is_empty() {
@@ -355,7 +361,7 @@
             _ => {
                 section.fault(
                     "final_refusals",
-                    format!("holds {text}, not an HTTP status from 400 to 599"),
+                    format!("holds {text}; expected HTTP statuses from 400 to 599"),
                 );
                 None
             }
@@ -384,7 +390,10 @@
         })
         .collect();
     if hashes.is_empty() && section.text("key_sha256").is_none() {
-        section.fault("key_sha256", "is missing; store the SHA-256 of its key");
+        section.fault(
+            "key_sha256",
+            "is missing; add the SHA-256 of the organisation's key",
+        );
     }
     hashes
 }
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,9 +1,9 @@
-//! Checks operators' files whole and builds the typed [`Deployment`].
+//! Checks all operators' files together and builds the typed [`Deployment`].
 //!
-//! Two passes. The first parses every file and makes an arena slot for each
-//! named section, so that references may point forward and across files. The
-//! second reads the fields and resolves references. All faults of both passes
-//! are returned together; one fault refuses everything.
+//! The first pass parses every file and assigns an arena slot to each named
+//! section, so that references may point forward and across files. The second
+//! reads the fields and resolves references. All faults of both passes are
+//! returned together; a single fault rejects the whole configuration.
 
 use std::collections::HashMap;
 
@@ -15,7 +15,7 @@
 use crate::reader::{FaultList, Section};
 use crate::source::{LineIndex, SourceFile};
 
-/// Section kinds that carry a name, in the order they are read.
+/// Section kinds written as `[kind.name]`.
 const NAMED_KINDS: [&str; 7] = [
     "hall",
     "service",
@@ -25,17 +25,15 @@
     "stage",
     "organisation",
 ];
-/// Section kinds that stand once.
+/// Sections without a name, which appear once.
 const SINGLE_KINDS: [&str; 2] = ["deployment", "policy"];
 
-/// Checks all files together.
-///
-/// Returns the deployment, or every fault found, each with file, line and field.
+/// Returns the deployment, or all faults found, each with file, line and field.
 pub fn check(files: &[SourceFile]) -> Result<Deployment, Faults> {
     let faults = FaultList::default();
     let parsed = parse_all(files, &faults);
     let sections = collect_sections(&parsed, &faults);
-    // A file that does not parse may hold it.
+    // A file with a syntax error may contain the section.
     if parsed.len() == files.len() {
         report_missing_deployment(files, &sections, &faults);
     }
@@ -69,7 +67,7 @@
     let mut sections = Vec::new();
     let mut seen: HashMap<&str, &str> = HashMap::new();
     for file in parsed {
-        report_doubled(file, faults);
+        report_duplicates(file, faults);
         for (name, fields) in file.ini.iter() {
             let Some(name) = name else {
                 report_bare_fields(file, fields, faults);
@@ -82,7 +80,7 @@
             }
             match seen.insert(name, &file.source.name) {
                 Some(other) if other != file.source.name => {
-                    section.fault("", format!("stands in {other} too; keep one"));
+                    section.fault("", format!("is also defined in {other}; keep one"));
                 }
                 Some(_) => {}
                 None => sections.push(section),
@@ -103,12 +101,12 @@
         file: files.first().map_or("no file", |file| &file.name).into(),
         line: 0,
         field: "deployment".into(),
-        message: "is in none of the files; add [deployment] with a name".into(),
+        message: "is missing from all files; add [deployment] with a name".into(),
     });
 }
 
-fn report_doubled(file: &ParsedFile<'_>, faults: &FaultList) {
-    for (section, key, line) in file.index.doubled() {
+fn report_duplicates(file: &ParsedFile<'_>, faults: &FaultList) {
+    for (section, key, line) in file.index.duplicates() {
         let field = match key {
             "" => section.to_string(),
             _ => format!("{section}.{key}"),
@@ -117,7 +115,7 @@
             file: file.source.name.clone(),
             line,
             field,
-            message: "stands twice; keep one".into(),
+            message: "is defined more than once; keep one".into(),
         });
     }
 }
@@ -128,7 +126,7 @@
             file: file.source.name.clone(),
             line: file.index.line("", key),
             field: key.into(),
-            message: "stands before any [section]; move it into one".into(),
+            message: "is outside any [section]; move it into one".into(),
         });
     }
 }
--- a/crates/config/src/chunk.rs
+++ b/crates/config/src/chunk.rs
@@ -1,9 +1,8 @@
-//! Accepted files as content-addressed chunks under a small head.
+//! Accepted files as content-addressed chunks listed by a small head.
 //!
-//! Texts are cut at section headers whose hash falls on a boundary, so a
-//! change to one organisation changes one chunk and the others keep their
-//! hashes: what a change costs on the wire is one chunk and the head, whatever
-//! the size of the whole.
+//! Texts are cut at section headers selected by their hash (content-defined
+//! chunking). A change to one organisation changes one chunk, so only that
+//! chunk and the head are sent, whatever the size of the configuration.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
@@ -14,22 +13,22 @@
 /// SHA-256 of a chunk's bytes.
 pub type ChunkHash = [u8; 32];
 
-/// One section header in this many starts a new chunk.
+/// Mean number of sections per chunk.
 const SECTIONS_PER_CHUNK: u32 = 64;
-/// Upper bound of a chunk, well under the store's limit of 1 MB a value.
+/// Largest chunk in bytes, below the store's limit of 1 MB per value.
 pub const MAX_CHUNK_BYTES: usize = 384 * 1024;
 
-/// What names a revision: small enough to gossip, changed by compare-and-swap.
+/// Describes a revision: small enough to gossip, replaced by compare-and-swap.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// Grows by one with each accepted apply; 0 is "no configuration yet".
+    /// Incremented by each accepted apply; 0 means no configuration yet.
     pub revision: u64,
     /// Revision this one was based on.
     pub parent: u64,
-    /// Chosen by whoever applied; settles lost answers.
+    /// Chosen by the client that applied; identifies the apply after a lost answer.
     pub apply_id: String,
-    /// Applies before this one, newest first; settles answers that were lost
-    /// while others went on.
+    /// Earlier applies, newest first; identifies applies whose answer was lost
+    /// after later ones were accepted.
     pub recent: Vec<RecentApply>,
     pub files: Vec<FileEntry>,
 }
@@ -41,7 +40,7 @@
     pub apply_id: String,
 }
 
-/// Applies that a head remembers.
+/// Earlier applies that a head records.
 pub const RECENT_APPLIES: usize = 32;
 
 /// One file of a revision.
@@ -52,7 +51,7 @@
     pub chunks: Vec<ChunkHash>,
 }
 
-/// Stores the hashes as one byte string instead of thousands of integers.
+/// Encodes the hashes as one byte string instead of a sequence of integers.
 mod hash_list {
     use super::ChunkHash;
     use serde::{de::Error, Deserializer, Serializer};
@@ -73,7 +72,7 @@
     }
 }
 
-/// Why chunks do not make the revision that a head names.
+/// Why the files of a head cannot be reassembled from chunks.
 #[derive(Debug, Snafu)]
 pub enum ChunkError {
     #[snafu(display(
@@ -89,7 +88,7 @@
 }
 
 impl Head {
-    /// The head that follows `parent` (`None`: the first).
+    /// The next head after `parent`; `None` creates the first.
     pub fn following(parent: Option<&Head>, apply_id: &str, files: Vec<FileEntry>) -> Head {
         let recent = parent.map_or(Vec::new(), |parent| {
             let before = RecentApply {
@@ -112,7 +111,7 @@
         }
     }
 
-    /// Revision that an apply id was accepted as, as far as is remembered.
+    /// Revision that an apply id was accepted as; `None` when not recorded.
     pub fn revision_of(&self, apply_id: &str) -> Option<u64> {
         if self.apply_id == apply_id {
             return Some(self.revision);
@@ -123,7 +122,7 @@
             .map(|recent| recent.revision)
     }
 
-    /// Oldest revision whose apply id is remembered.
+    /// Oldest revision whose apply id is recorded.
     pub fn remembers_from(&self) -> u64 {
         self.recent.last().map_or(self.revision, |r| r.revision)
     }
@@ -134,30 +133,29 @@
     }
 }
 
-/// Hash of a chunk.
 pub fn hash_chunk(bytes: &[u8]) -> ChunkHash {
     Sha256::digest(bytes).into()
 }
 
-/// Splits files into entries and the chunks that they name.
+/// Splits files into chunks; returns the file entries and the chunks by hash.
 pub fn split(files: &[SourceFile]) -> (Vec<FileEntry>, Vec<(ChunkHash, Vec<u8>)>) {
     let mut entries = Vec::new();
     let mut chunks = Vec::new();
     for file in files {
-        let pieces: Vec<_> = split_text(&file.text)
+        let file_chunks: Vec<_> = split_text(&file.text)
             .into_iter()
-            .map(|piece| (hash_chunk(piece), piece.to_vec()))
+            .map(|bytes| (hash_chunk(bytes), bytes.to_vec()))
             .collect();
         entries.push(FileEntry {
             name: file.name.clone(),
-            chunks: pieces.iter().map(|(hash, _)| *hash).collect(),
+            chunks: file_chunks.iter().map(|(hash, _)| *hash).collect(),
         });
-        chunks.extend(pieces);
+        chunks.extend(file_chunks);
     }
     (entries, chunks)
 }
 
-/// Puts the files of a head together again.
+/// Reassembles the files of a head; fails on a missing chunk or text that is not UTF-8.
 pub fn join(
     head: &Head,
     fetch: impl Fn(&ChunkHash) -> Option<Vec<u8>>,
@@ -187,21 +185,21 @@
 }
 
 fn split_text(text: &str) -> Vec<&[u8]> {
-    let mut pieces = Vec::new();
+    let mut chunks = Vec::new();
     let mut start = 0;
-    let mut at = 0;
+    let mut offset = 0;
     for line in text.split_inclusive('\n') {
         let boundary = line.starts_with('[') && starts_chunk(line);
-        if at > start && (boundary || at - start + line.len() > MAX_CHUNK_BYTES) {
-            pieces.push(&text.as_bytes()[start..at]);
-            start = at;
+        if offset > start && (boundary || offset - start + line.len() > MAX_CHUNK_BYTES) {
+            chunks.push(&text.as_bytes()[start..offset]);
+            start = offset;
         }
-        at += line.len();
+        offset += line.len();
     }
-    if at > start {
-        pieces.push(&text.as_bytes()[start..at]);
+    if offset > start {
+        chunks.push(&text.as_bytes()[start..offset]);
     }
-    pieces
+    chunks
 }
 
 fn starts_chunk(header: &str) -> bool {
--- a/crates/config/src/fault.rs
+++ b/crates/config/src/fault.rs
@@ -1,22 +1,22 @@
-//! What is wrong with an operator's file, and where.
+//! Errors in operators' files, with file, line and field.
 //!
-//! A check collects every fault before it gives up, so that one round of
-//! corrections is enough.
+//! A check collects all faults before it fails, so that operators can correct
+//! them in one round.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// One mistake in one file.
+/// One error in one file.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fault {
     /// File name as the operator gave it.
     pub file: String,
-    /// 1-based line; 0 when the fault belongs to the file as a whole.
+    /// 1-based line; 0 when the fault concerns the whole file.
     pub line: usize,
     /// `section.field`, or the section alone.
     pub field: String,
-    /// What is wrong and what to write instead.
+    /// The error and how to correct it.
     pub message: String,
 }
 
@@ -30,13 +30,13 @@
     }
 }
 
-/// Every fault found in one check; never empty when returned as an error.
+/// All faults found by one check; never empty when returned as an error.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Faults(pub Vec<Fault>);
 
 impl Faults {
-    /// Faults in the order in which an operator reads the files.
-    pub fn in_order(mut faults: Vec<Fault>) -> Self {
+    /// Sorts faults by file, line and field.
+    pub fn sorted(mut faults: Vec<Fault>) -> Self {
         faults.sort_by(|a, b| (&a.file, a.line, &a.field).cmp(&(&b.file, b.line, &b.field)));
         Faults(faults)
     }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,10 +1,9 @@
 //! Operators' declarative files and the daemons' settings.
 //!
-//! Data flows one way: [`SourceFile`] texts are parsed by `rust-ini`, every
-//! section is read by [`check::check`] into the typed arenas of
-//! [`model::Deployment`], and accepted texts are split into content-addressed
-//! [`chunk`]s for the store and for peers. Nothing here touches a socket or a
-//! clock; the caller reads files and passes their texts in.
+//! [`check::check`] parses [`SourceFile`] texts with `rust-ini` and reads their
+//! sections into the typed arenas of [`model::Deployment`]. Accepted texts are
+//! split into content-addressed [`chunk`]s for the store and for peers. The
+//! crate does no I/O and reads no clock: callers pass the texts of files in.
 
 mod build;
 pub mod check;
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -1,8 +1,8 @@
 //! The typed configuration: arenas of plain structs and small `Copy` keys.
 //!
-//! [`crate::check`] builds a [`Deployment`] whole; afterwards it is immutable
-//! and shared behind an `Arc`. Keys index the arena they were made for and are
-//! valid for one revision only: what outlives a revision is kept by name.
+//! [`crate::check`] builds a [`Deployment`], which is then immutable and shared
+//! behind an `Arc`. Keys are indices into its arenas and valid for one revision
+//! only; state that outlives a revision refers to items by name.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -25,38 +25,38 @@
 }
 
 arena_key!(
-    /// Key of a [`Hall`].
+    /// Index into [`Deployment::halls`].
     HallKey
 );
 arena_key!(
-    /// Key of a [`Service`].
+    /// Index into [`Deployment::services`].
     ServiceKey
 );
 arena_key!(
-    /// Key of a [`Target`].
+    /// Index into [`Deployment::targets`].
     TargetKey
 );
 arena_key!(
-    /// Key of a [`Model`].
+    /// Index into [`Deployment::models`].
     ModelKey
 );
 arena_key!(
-    /// Key of a [`Pipeline`].
+    /// Index into [`Deployment::pipelines`].
     PipelineKey
 );
 arena_key!(
-    /// Key of an [`Organisation`].
+    /// Index into [`Deployment::organisations`].
     OrganisationKey
 );
 
-/// A data hall: the place that data may or may not be processed in.
+/// A data hall. Organisations restrict the halls that may process their data.
 #[derive(Debug, Clone)]
 pub struct Hall {
     pub name: String,
     pub region: String,
 }
 
-/// What a service does; decides how its answer is read.
+/// Kind of a service; determines how its answers are read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServiceKind {
     Encoder,
@@ -68,7 +68,7 @@
 }
 
 impl ServiceKind {
-    /// Name used in files and in metrics.
+    /// Name in configuration files and metrics.
     pub fn name(self) -> &'static str {
         match self {
             ServiceKind::Encoder => "encoder",
@@ -85,18 +85,18 @@
 pub struct Service {
     pub name: String,
     pub kind: ServiceKind,
-    /// Whether its targets publish their load.
+    /// Whether its targets report their load.
     pub reports_load: bool,
     /// Whether its targets check the fencing number of an order.
     pub checks_orders: bool,
-    /// HTTP statuses by which a target says that it did not run the call.
+    /// HTTP statuses with which a target confirms that it did not run the call.
     pub final_refusals: Vec<u16>,
-    /// Requests one target serves at a time before answers slow down.
+    /// Requests that one target serves concurrently without slowing down.
     pub concurrency: u32,
     pub targets: Vec<TargetKey>,
 }
 
-/// One back end.
+/// One back end of a service.
 #[derive(Debug, Clone)]
 pub struct Target {
     pub name: String,
@@ -105,7 +105,7 @@
     pub address: SocketAddr,
 }
 
-/// A model with the versions and adapters that may serve.
+/// A model, with the version and the adapters that may serve.
 #[derive(Debug, Clone)]
 pub struct Model {
     pub name: String,
@@ -119,10 +119,10 @@
 pub struct Stage {
     pub name: String,
     pub service: ServiceKey,
-    /// Whether a second run after an unknown outcome is harmless.
+    /// Whether the stage may run again after an unknown outcome.
     pub repeatable: bool,
     pub model: Option<ModelKey>,
-    /// Expected time in milliseconds, used until quantiles are measured.
+    /// Expected duration in milliseconds, used until quantiles are available.
     pub expected_ms: u32,
     /// Upper bound of generated tokens; 0 for stages that do not generate.
     pub max_tokens: u32,
@@ -132,7 +132,7 @@
 #[derive(Debug, Clone)]
 pub struct Pipeline {
     pub name: String,
-    /// Used when a caller names no deadline; also the longest it may name.
+    /// Default deadline and the longest that a caller may set, in milliseconds.
     pub deadline_ms: u32,
     /// Passed to engines; larger is more urgent.
     pub priority: u8,
@@ -140,7 +140,7 @@
 }
 
 impl Pipeline {
-    /// True when some stage must not run twice for one request.
+    /// True if any stage must run at most once per request.
     pub fn runs_once(&self) -> bool {
         self.stages.iter().any(|stage| !stage.repeatable)
     }
@@ -151,7 +151,7 @@
 pub struct Organisation {
     pub name: String,
     pub halls: Vec<HallKey>,
-    /// Share of contended capacity relative to the others.
+    /// Relative share of capacity under contention.
     pub weight: u32,
     pub key_hashes: Vec<KeyHash>,
     /// Pipelines it may call; empty means all.
@@ -159,16 +159,16 @@
     pub adapter: Option<String>,
 }
 
-/// How operators weigh the two measures.
+/// The operators' weights and budgets.
 #[derive(Debug, Clone, Copy)]
 pub struct Policy {
     /// Weight of attainment against cost by stage, 0 to 1.
     pub attainment_weight: f64,
-    /// Share of extra attempts that retries and hedges may add.
+    /// Share of extra attempts that retries and hedges may add, 0 to 1.
     pub retry_budget: f64,
 }
 
-/// One whole accepted configuration.
+/// A complete, checked configuration.
 #[derive(Debug, Clone)]
 pub struct Deployment {
     pub name: String,
@@ -208,38 +208,35 @@
         &self.organisations[key.index()]
     }
 
-    /// Finds a hall by name.
     pub fn find_hall(&self, name: &str) -> Option<HallKey> {
         position(&self.halls, |hall| hall.name == name).map(HallKey)
     }
 
-    /// Finds a pipeline by name.
     pub fn find_pipeline(&self, name: &str) -> Option<PipelineKey> {
         position(&self.pipelines, |pipeline| pipeline.name == name).map(PipelineKey)
     }
 
-    /// Finds an organisation by name.
     pub fn find_organisation(&self, name: &str) -> Option<OrganisationKey> {
         self.organisations_by_name.get(name).copied()
     }
 
-    /// The organisation that a presented key belongs to.
+    /// Organisation that the key with this hash belongs to.
     pub fn organisation_of_key(&self, hash: &KeyHash) -> Option<OrganisationKey> {
         self.by_key_hash.get(hash).copied()
     }
 
-    /// True when `org` may call `pipeline`.
+    /// True if `org` may call `pipeline`; an empty list allows all pipelines.
     pub fn may_call(&self, org: OrganisationKey, pipeline: PipelineKey) -> bool {
         let allowed = &self.organisation(org).pipelines;
         allowed.is_empty() || allowed.contains(&pipeline)
     }
 
-    /// True when `org`'s data may be held or processed in `hall`.
+    /// True if `org`'s data may be stored or processed in `hall`.
     pub fn permits(&self, org: OrganisationKey, hall: HallKey) -> bool {
         self.organisation(org).halls.contains(&hall)
     }
 
-    /// The same by the hall's name; a hall that is not known is not permitted.
+    /// Like [`Deployment::permits`], by name; an unknown hall is not permitted.
     pub fn permits_named(&self, org: OrganisationKey, hall: &str) -> bool {
         self.find_hall(hall)
             .is_some_and(|hall| self.permits(org, hall))
@@ -247,5 +244,5 @@
 }
 
 fn position<T>(items: &[T], matches: impl Fn(&T) -> bool) -> Option<u16> {
-    items.iter().position(matches).map(|at| at as u16)
+    items.iter().position(matches).map(|index| index as u16)
 }
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -1,8 +1,8 @@
-//! Typed reading of one section, with every fault collected.
+//! Typed access to the fields of one section, collecting all faults.
 //!
-//! [`Section`] wraps a parsed section and knows which fields were asked for;
-//! [`Section::finish`] reports the ones nobody asked for, so a misspelt field
-//! is a fault and not a silent default.
+//! [`Section`] wraps a parsed section and records which fields were read;
+//! [`Section::finish`] reports all others, so that a misspelt field is a fault
+//! instead of a silent default.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -27,18 +27,18 @@
         self.0.into_inner()
     }
 
-    /// What was read, or the faults in their order.
-    pub fn into_result<T>(self, read: T) -> Result<T, Faults> {
+    /// `value` if there are no faults, else the faults in order.
+    pub fn into_result<T>(self, value: T) -> Result<T, Faults> {
         match self.into_vec() {
-            found if found.is_empty() => Ok(read),
-            found => Err(Faults::in_order(found)),
+            faults if faults.is_empty() => Ok(value),
+            faults => Err(Faults::sorted(faults)),
         }
     }
 }
 
-/// Reads every section of a file, and reports the fields that nobody asked for. Where `read`
-/// doesn't know a section's name it says which it knows. An error is one of syntax: nothing
-/// was read.
+/// Passes every section of a file to `read` and reports the fields that it did not read.
+/// For an unknown section, `read` returns the known names as its error. Fails only on a
+/// syntax error, before any section is read.
 pub fn read_sections(
     source: &SourceFile,
     mut read: impl FnMut(&Section<'_>) -> Result<(), &'static str>,
@@ -64,7 +64,7 @@
     fields: &'a Properties,
     index: &'a LineIndex,
     faults: &'a FaultList,
-    asked: RefCell<BTreeSet<String>>,
+    read_keys: RefCell<BTreeSet<String>>,
 }
 
 impl<'a> Section<'a> {
@@ -81,7 +81,7 @@
             fields,
             index,
             faults,
-            asked: RefCell::default(),
+            read_keys: RefCell::default(),
         }
     }
 
@@ -90,7 +90,7 @@
         self.name
     }
 
-    /// The part after the first dot of `[kind.name]`.
+    /// Part after the first dot of `[kind.name]`; empty without a dot.
     pub fn item_name(&self) -> &'a str {
         self.name.split_once('.').map_or("", |(_, name)| name)
     }
@@ -111,14 +111,14 @@
 
     /// An optional text field.
     pub fn text(&self, key: &str) -> Option<&'a str> {
-        self.asked.borrow_mut().insert(key.to_string());
+        self.read_keys.borrow_mut().insert(key.to_string());
         self.fields
             .get(key)
             .map(str::trim)
             .filter(|text| !text.is_empty())
     }
 
-    /// A field that must be there; a fault and `""` when it is not.
+    /// A mandatory field; a fault and `""` when it is missing.
     pub fn required(&self, key: &str) -> &'a str {
         self.text(key).unwrap_or_else(|| {
             self.fault(key, "is missing; add it to this section");
@@ -133,33 +133,33 @@
             .unwrap_or_default()
     }
 
-    /// A parsed value, `default` when absent, a fault when it does not parse.
-    pub fn parsed<T: FromStr>(&self, key: &str, default: T, wanted: &str) -> T {
+    /// A parsed value; `default` when absent, and a fault too when invalid.
+    pub fn parsed<T: FromStr>(&self, key: &str, default: T, expected: &str) -> T {
         match self.text(key).map(str::parse) {
             None => default,
             Some(Ok(value)) => value,
             Some(Err(_)) => {
-                self.fault(key, format!("is not {wanted}"));
+                self.fault(key, format!("is not {expected}"));
                 default
             }
         }
     }
 
-    /// A number within bounds, `default` when absent.
+    /// A number within bounds; `default` when absent.
     pub fn number<T>(&self, key: &str, default: T, bounds: RangeInclusive<T>) -> T
     where
         T: FromStr + PartialOrd + Copy + std::fmt::Display,
     {
-        let wanted = format!("a number from {} to {}", bounds.start(), bounds.end());
-        let value = self.parsed(key, default, &wanted);
+        let expected = format!("a number from {} to {}", bounds.start(), bounds.end());
+        let value = self.parsed(key, default, &expected);
         if self.text(key).is_some() && !bounds.contains(&value) {
-            self.fault(key, format!("is not {wanted}"));
+            self.fault(key, format!("is not {expected}"));
             return default;
         }
         value
     }
 
-    /// `yes` or `no`, `default` when absent.
+    /// `yes` or `no`; `default` when absent.
     pub fn flag(&self, key: &str, default: bool) -> bool {
         match self.text(key) {
             None => default,
@@ -172,11 +172,15 @@
         }
     }
 
-    /// Reports fields that no reader asked for.
+    /// Reports the fields that were not read as unknown.
     pub fn finish(self) {
-        let asked = self.asked.take();
-        for (key, _) in self.fields.iter().filter(|(key, _)| !asked.contains(*key)) {
-            let known: Vec<_> = asked.iter().map(String::as_str).collect();
+        let read_keys = self.read_keys.take();
+        for (key, _) in self
+            .fields
+            .iter()
+            .filter(|(key, _)| !read_keys.contains(*key))
+        {
+            let known: Vec<_> = read_keys.iter().map(String::as_str).collect();
             self.faults.push(Fault {
                 file: self.file.into(),
                 line: self.index.line(self.name, key),
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,7 +1,7 @@
 //! The daemon's own settings: addresses, hall, fleet key, limits.
 //!
-//! Settings are local to one process and read once at start; what operators
-//! change while the fleet runs is in [`crate::model`].
+//! Settings apply to one process and are read at startup; the configuration
+//! that operators change while the fleet runs is in [`crate::model`].
 
 use std::net::SocketAddr;
 
@@ -13,20 +13,20 @@
 /// Settings of one entry process.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Name of this entry; a label, never an identity.
+    /// Name of this entry; a label only, not an identity.
     pub name: String,
-    /// Name of the hall it stands in.
+    /// Name of the hall that the entry runs in.
     pub hall: String,
     pub callers: SocketAddr,
     pub peers: SocketAddr,
     pub operators: SocketAddr,
     /// Shared secret of the fleet.
     pub fleet_key: Vec<u8>,
-    /// Peers to ask first.
+    /// Peers to contact first.
     pub seeds: Vec<SocketAddr>,
-    /// Key-value service; `None` runs without it.
+    /// Key-value service; `None`: run without a store.
     pub store: Option<SocketAddr>,
-    /// Host list; `None` runs without it.
+    /// Host list; `None`: run without a host list.
     pub host_list: Option<SocketAddr>,
     pub operator_key: KeyHash,
     pub tls: Option<TlsFiles>,
@@ -40,10 +40,10 @@
     pub key: String,
 }
 
-/// Bounds of one entry process.
+/// Resource limits and timings of one entry process.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Traffic threads.
+    /// Threads that serve traffic.
     pub threads: usize,
     /// Largest request body in bytes.
     pub max_body_bytes: usize,
@@ -51,17 +51,17 @@
     pub max_in_flight: usize,
     /// Records the ledger holds before it refuses new ones.
     pub ledger_records: usize,
-    /// Bytes of kept outcomes.
+    /// Bytes of retained outcomes.
     pub ledger_bytes: usize,
-    /// How long a ticket may be presented, in milliseconds.
+    /// How long a ticket is accepted, in milliseconds.
     pub ticket_ms: u64,
-    /// How long a claim on a caller's own id is kept, in milliseconds.
+    /// How long a claim on a caller-chosen id is retained, in milliseconds.
     pub claim_ms: u64,
-    /// Claims an entry writes to the store in a second.
+    /// Claims that an entry writes to the store per second.
     pub claims_per_second: u32,
-    /// How long a planned stop goes on serving while the balancer lags.
+    /// How long a stopping entry serves until balancers react, in milliseconds.
     pub stop_grace_ms: u64,
-    /// How long an entry without store and peers goes on taking work.
+    /// How long an entry that reaches neither store nor peers accepts work, in milliseconds.
     pub isolation_ms: u64,
 }
 
@@ -93,7 +93,7 @@
 ];
 
 impl Settings {
-    /// Reads a settings file; returns every fault at once.
+    /// Reads a settings file; returns all faults together.
     pub fn read(source: &SourceFile) -> Result<Settings, Faults> {
         let ini = source.parse().map_err(|fault| Faults(vec![fault]))?;
         let index = source.index();
@@ -170,7 +170,7 @@
     if parsed.is_none() {
         section.fault(
             key,
-            format!("holds {text}, not an address like 10.0.0.1:8080"),
+            format!("holds {text}; expected an address like 10.0.0.1:8080"),
         );
     }
     parsed
@@ -185,7 +185,7 @@
     if !text.is_empty() && key.len() < MIN_FLEET_KEY_BYTES {
         section.fault(
             "key",
-            format!("is not hexadecimal of at least {MIN_FLEET_KEY_BYTES} bytes"),
+            format!("is not a hexadecimal key of at least {MIN_FLEET_KEY_BYTES} bytes"),
         );
     }
     key
@@ -209,11 +209,11 @@
             key: key.into(),
         }),
         (Some(_), None) => {
-            section.fault("key", "is missing beside certificate");
+            section.fault("key", "is missing; required with certificate");
             None
         }
         (None, Some(_)) => {
-            section.fault("certificate", "is missing beside key");
+            section.fault("certificate", "is missing; required with key");
             None
         }
     }
--- a/crates/config/tests/suite/chunks.rs
+++ b/crates/config/tests/suite/chunks.rs
@@ -1,5 +1,4 @@
-//! Chunks put together again give the same files; a small change changes
-//! little.
+//! Files survive splitting and joining; a small change affects few chunks.
 
 use std::collections::{HashMap, HashSet};
 
@@ -14,9 +13,13 @@
 
 fn organisations(count: usize, weight_of_last: u32) -> SourceFile {
     let text = (0..count)
-        .map(|at| {
-            let weight = if at + 1 == count { weight_of_last } else { 1 };
-            format!("[organisation.o{at}]\nhalls = a\nweight = {weight}\n")
+        .map(|index| {
+            let weight = if index + 1 == count {
+                weight_of_last
+            } else {
+                1
+            };
+            format!("[organisation.o{index}]\nhalls = a\nweight = {weight}\n")
         })
         .collect();
     SourceFile {
@@ -26,7 +29,7 @@
 }
 
 #[test]
-fn one_changed_organisation_of_many_changes_one_chunk() {
+fn one_organisation_change_changes_one_chunk() {
     let (_, before) = split(&[organisations(3800, 1)]);
     let (_, after) = split(&[organisations(3800, 2)]);
     let known: HashSet<ChunkHash> = before.iter().map(|(hash, _)| *hash).collect();
@@ -39,7 +42,7 @@
 }
 
 #[test]
-fn no_chunk_is_larger_than_the_bound() {
+fn chunks_stay_within_the_size_limit() {
     let comment = format!("; {}\n", "x".repeat(1000)).repeat(2000);
     let (_, chunks) = split(&[SourceFile {
         name: "long.ini".into(),
@@ -52,9 +55,9 @@
 }
 
 #[test]
-fn a_missing_chunk_is_named() {
+fn missing_chunk_is_named_in_the_error() {
     let (entries, _) = split(&[organisations(3, 1)]);
-    let err = join(&head(entries), |_| None).expect_err("nothing is there");
+    let err = join(&head(entries), |_| None).expect_err("no chunk is available");
     assert!(err.to_string().starts_with("chunk "), "{err}");
 }
 
@@ -65,18 +68,18 @@
         ..ProptestConfig::default()
     })]
     #[test]
-    fn split_then_join_gives_the_same_files(texts in prop::collection::vec("(\\[[a-z]{1,3}\\]\n|[a-z]{0,5} = [a-z]{0,5}\n|\n){0,40}", 0..4)) {
+    fn split_then_join_restores_the_files(texts in prop::collection::vec("(\\[[a-z]{1,3}\\]\n|[a-z]{0,5} = [a-z]{0,5}\n|\n){0,40}", 0..4)) {
         let files: Vec<SourceFile> = texts
             .into_iter()
             .enumerate()
-            .map(|(at, text)| SourceFile { name: at.to_string(), text })
+            .map(|(index, text)| SourceFile { name: index.to_string(), text })
             .collect();
         let (entries, chunks) = split(&files);
         let chunks: HashMap<ChunkHash, Vec<u8>> = chunks.into_iter().collect();
         let head = head(entries);
-        let bytes = rmp_serde::to_vec(&head).expect("it serializes");
-        let head: Head = rmp_serde::from_slice(&bytes).expect("it reads back");
-        let joined = join(&head, |hash| chunks.get(hash).cloned()).expect("all are there");
+        let bytes = rmp_serde::to_vec(&head).expect("the head serializes");
+        let head: Head = rmp_serde::from_slice(&bytes).expect("the head deserializes");
+        let joined = join(&head, |hash| chunks.get(hash).cloned()).expect("all chunks are available");
         prop_assert_eq!(joined, files);
     }
 }
--- a/crates/config/tests/suite/large.rs
+++ b/crates/config/tests/suite/large.rs
@@ -1,11 +1,11 @@
-//! The size of two years on fits: keys, chunks, and values of the store.
+//! A configuration of the planned maximum size fits arena keys, chunks and store values.
 
 use hollowsail_config::chunk::{split, Head};
 use hollowsail_config::key::hash_key;
 use hollowsail_config::{check, SourceFile};
 
 /// Largest value of the store, in bytes.
-const STORE_VALUE: usize = 1_000_000;
+const MAX_STORE_VALUE_BYTES: usize = 1_000_000;
 
 fn large() -> SourceFile {
     let mut text = String::from("[deployment]\nname = large\n");
@@ -40,19 +40,23 @@
 }
 
 #[test]
-fn a_deployment_of_full_size_is_accepted_and_fits_the_store() {
+fn full_size_deployment_fits_the_store() {
     let file = large();
-    let deployment = check(std::slice::from_ref(&file)).expect("it is right");
+    let deployment = check(std::slice::from_ref(&file)).expect("the file is valid");
     assert_eq!(deployment.organisations.len(), 3800);
     let key = hash_key("3799");
-    let org = deployment.organisation_of_key(&key).expect("it is known");
+    let org = deployment
+        .organisation_of_key(&key)
+        .expect("the organisation exists");
     assert_eq!(deployment.organisation(org).name, "o3799");
     let (files, chunks) = split(&[file]);
-    assert!(chunks.iter().all(|(_, bytes)| bytes.len() < STORE_VALUE));
+    assert!(chunks
+        .iter()
+        .all(|(_, bytes)| bytes.len() < MAX_STORE_VALUE_BYTES));
     let head = Head::following(None, "a", files);
-    let bytes = rmp_serde::to_vec(&head).expect("it serializes");
+    let bytes = rmp_serde::to_vec(&head).expect("the head serializes");
     assert!(
-        bytes.len() < STORE_VALUE / 10,
+        bytes.len() < MAX_STORE_VALUE_BYTES / 10,
         "the head has {} bytes",
         bytes.len()
     );
--- a/crates/config/tests/suite/main.rs
+++ b/crates/config/tests/suite/main.rs
@@ -1,4 +1,4 @@
-//! Operators' files and settings, checked whole.
+//! Checks of operators' files and settings.
 
 mod chunks;
 mod faults;
--- a/crates/config/tests/suite/shipped.rs
+++ b/crates/config/tests/suite/shipped.rs
@@ -1,4 +1,4 @@
-//! The examples that ship have the sizes that their users have.
+//! The shipped examples are valid and have the expected sizes.
 
 use std::path::Path;
 
@@ -14,14 +14,14 @@
             let path = directory.join(format!("{file}.ini"));
             SourceFile {
                 name: path.display().to_string(),
-                text: std::fs::read_to_string(path).expect("it ships"),
+                text: std::fs::read_to_string(path).expect("the example file exists"),
             }
         })
         .collect();
-    check(&files).expect("it is right")
+    check(&files).expect("the example is valid")
 }
 
-fn sizes_hold(deployment: &Deployment, engines: usize) {
+fn assert_sizes(deployment: &Deployment, engines: usize) {
     assert_eq!(deployment.halls.len(), 3);
     assert_eq!(deployment.organisations.len(), 5);
     let supporting = deployment
@@ -37,7 +37,7 @@
         .services
         .iter()
         .find(|s| s.kind == ServiceKind::Engine);
-    assert_eq!(engine.expect("one").targets.len(), engines);
+    assert_eq!(engine.expect("an engine service").targets.len(), engines);
     assert!(deployment
         .pipelines
         .iter()
@@ -45,11 +45,11 @@
 }
 
 #[test]
-fn quebec_has_its_users_sizes() {
-    sizes_hold(&example("quebec"), 20);
+fn quebec_example_has_expected_sizes() {
+    assert_sizes(&example("quebec"), 20);
 }
 
 #[test]
-fn accra_has_its_users_sizes() {
-    sizes_hold(&example("accra"), 12);
+fn accra_example_has_expected_sizes() {
+    assert_sizes(&example("accra"), 12);
 }
