--- a/crates/observe/src/lib.rs
+++ b/crates/observe/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the daemons say of themselves: numbered log events, the closed list of
-//! error kinds, and the recorder behind the metrics address.
+//! Observability of the daemons: numbered log events, the closed list of error
+//! kinds, and the recorder behind the metrics address.
 
 pub mod events;
 pub mod kinds;
--- a/crates/observe/src/log_throttle.rs
+++ b/crates/observe/src/log_throttle.rs
@@ -1,35 +1,36 @@
-//! Says whether something that may come with every answer is to be told again.
+//! Limits how often a log line that may occur with every answer is written.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// Subjects remembered at most; beyond them nothing is told until some are forgotten.
-const MOST_SUBJECTS: usize = 256;
+/// Subjects tracked at a time; further ones are not logged until some expire.
+const MAX_SUBJECTS: usize = 256;
 
-/// When subjects were last told, in milliseconds since the process started.
+/// Times at which subjects were last logged, in milliseconds since process start.
 #[derive(Debug)]
 pub struct LogThrottle<K> {
-    pause_ms: u64,
-    told: HashMap<K, u64>,
+    interval_ms: u64,
+    last_logged: HashMap<K, u64>,
 }
 
 impl<K: Eq + Hash> LogThrottle<K> {
-    /// Tells each subject once in a pause at the most.
-    pub fn new(pause_ms: u64) -> Self {
+    /// Allows one line per subject and interval.
+    pub fn new(interval_ms: u64) -> Self {
         LogThrottle {
-            pause_ms,
-            told: HashMap::new(),
+            interval_ms,
+            last_logged: HashMap::new(),
         }
     }
 
-    /// True when a subject that came now is to be told.
+    /// True if `subject` is to be logged now; records it as logged.
     pub fn is_due(&mut self, now_ms: u64, subject: K) -> bool {
-        let pause_ms = self.pause_ms;
-        self.told.retain(|_, told| now_ms < *told + pause_ms);
-        if self.told.contains_key(&subject) || self.told.len() >= MOST_SUBJECTS {
+        let interval_ms = self.interval_ms;
+        self.last_logged
+            .retain(|_, logged_ms| now_ms < *logged_ms + interval_ms);
+        if self.last_logged.contains_key(&subject) || self.last_logged.len() >= MAX_SUBJECTS {
             return false;
         }
-        self.told.insert(subject, now_ms);
+        self.last_logged.insert(subject, now_ms);
         true
     }
 }
--- a/crates/observe/src/output.rs
+++ b/crates/observe/src/output.rs
@@ -1,26 +1,25 @@
-//! Where a daemon's log lines go: standard output, never waiting for its
-//! reader.
+//! Non-blocking log output to standard output.
 //!
-//! Each line is one write of at most [`MAX_LINE`] bytes to a descriptor in
-//! non-blocking mode. On a pipe such a write is taken whole or not at all, so a
-//! reader that is behind costs lines, not time and not torn lines. The next
-//! line that gets through is preceded by one that tells how many were lost.
+//! Each line is one non-blocking write of at most [`MAX_LINE`] bytes, which a
+//! pipe accepts completely or not at all. A slow reader loses lines, but never
+//! blocks the daemon or receives partial lines. The next line that is written
+//! is preceded by the number of lost lines.
 
 use std::io::{self, Write};
 
 use rustix::fs::{fcntl_getfl, fcntl_setfl, OFlags};
 
-/// Bytes that a pipe takes whole or not at all (PIPE_BUF on Linux).
+/// Largest atomic write to a pipe, in bytes (PIPE_BUF on Linux).
 const MAX_LINE: usize = 4096;
 
-/// Writes lines to standard output without waiting.
+/// Writes lines to standard output without blocking; counts lost lines.
 #[derive(Debug, Default)]
 pub struct LineOutput {
     lost: u64,
 }
 
 impl LineOutput {
-    /// Puts standard output into non-blocking mode.
+    /// Sets standard output to non-blocking mode; fails if its flags cannot be changed.
     pub fn open() -> io::Result<Self> {
         let stdout = rustix::stdio::stdout();
         let flags = fcntl_getfl(stdout)?;
@@ -28,7 +27,7 @@
         Ok(LineOutput::default())
     }
 
-    fn put(&self, line: &[u8]) -> bool {
+    fn try_write(&self, line: &[u8]) -> bool {
         rustix::io::write(rustix::stdio::stdout(), line).is_ok()
     }
 }
@@ -37,16 +36,16 @@
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         if self.lost > 0 {
             let notice = format!("HS0100 log_lines_lost count={}\n", self.lost);
-            if self.put(notice.as_bytes()) {
+            if self.try_write(notice.as_bytes()) {
                 self.lost = 0;
             }
         }
-        let whole = if line.len() > MAX_LINE {
+        let truncated = if line.len() > MAX_LINE {
             [&line[..MAX_LINE - 1], b"\n"].concat()
         } else {
             line.to_vec()
         };
-        if !self.put(&whole) {
+        if !self.try_write(&truncated) {
             self.lost += 1;
         }
         Ok(line.len())
--- a/crates/observe/src/recorder.rs
+++ b/crates/observe/src/recorder.rs
@@ -1,13 +1,12 @@
 //! The recorder behind the metrics address: counters and latency histograms in
-//! Prometheus' text form.
+//! Prometheus text format.
 
 use std::sync::OnceLock;
 
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusHandle};
 
-/// Upper bounds of latency histograms, in seconds: a gate check takes dozens of
-/// milliseconds, a long review several seconds.
-const SECONDS: [f64; 14] = [
+/// Upper bounds of latency histogram buckets, in seconds.
+const LATENCY_BUCKETS_S: [f64; 14] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.7, 1.0, 1.5, 2.5, 4.0, 8.0, 16.0,
 ];
 
@@ -16,12 +15,12 @@
 /// Installs the recorder once per process; later calls do nothing.
 pub fn install() {
     RECORDER.get_or_init(|| {
-        let builder = PrometheusBuilder::new().set_buckets(&SECONDS);
+        let builder = PrometheusBuilder::new().set_buckets(&LATENCY_BUCKETS_S);
         builder.ok()?.install_recorder().ok()
     });
 }
 
-/// Text for a scrape; empty when another recorder was installed first.
+/// Metrics in text format; empty if another recorder was installed first.
 pub fn render() -> String {
     RECORDER
         .get()
--- a/crates/observe/tests/suite/main.rs
+++ b/crates/observe/tests/suite/main.rs
@@ -1,4 +1,4 @@
-//! Tables of the daemons that documents show.
+//! Tests of the documented tables and of log throttling.
 
 mod catalogues;
 mod log_throttle;
