--- a/crates/clients/src/host_list.rs
+++ b/crates/clients/src/host_list.rs
@@ -1,6 +1,6 @@
-//! Client of the platform's host list: live and leaving hosts, with a lag.
+//! Client of the platform's host list: live and leaving hosts, with a delay.
 //!
-//! A reader names the tag of the list it has; an unchanged list is not sent
+//! Requests carry the tag of the last list read; an unchanged list is not sent
 //! again.
 
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 /// Largest list in bytes.
 const MAX_LIST_BYTES: usize = 1_000_000;
 
-/// What the list says of one host.
+/// Status of one host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostStatus {
@@ -27,7 +27,7 @@
     Leaving,
 }
 
-/// One line of the list.
+/// One host of the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostRecord {
     /// Target or entry name.
@@ -37,17 +37,17 @@
     pub status: HostStatus,
 }
 
-/// A list as it was read.
+/// A host list and its tag.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HostList {
-    /// The platform's tag for this version; `None` when it gives none.
+    /// The platform's tag of this version; `None` if it sent none.
     pub tag: Option<String>,
     pub hosts: Vec<HostRecord>,
 }
 
-/// The list could not be read; the last one stays in use.
+/// The list could not be read; the previous one stays in use.
 #[derive(Debug, Snafu)]
-#[snafu(display("the host list could not be read: {reason}; keeping the last one"))]
+#[snafu(display("the host list could not be read: {reason}; keeping the previous one"))]
 pub struct HostListError {
     pub reason: String,
 }
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Reads the list; `None` when it is still the one tagged `known`.
+    /// Reads the list; `None` if it still has the tag `known`.
     pub async fn read(&self, known: Option<&str>) -> Result<Option<HostList>, HostListError> {
         let failed = |reason: String| HostListError { reason };
         let mut req = self
--- a/crates/clients/src/http.rs
+++ b/crates/clients/src/http.rs
@@ -1,9 +1,9 @@
-//! How `awc` clients are built here, and what their errors say about progress.
+//! Construction of `awc` clients, and how far a failed request got.
 //!
-//! A client that silently sends twice would break "at most once" below every
-//! layer that counts, so redirects are off, and calls that may not be repeated
-//! use a client whose connections are never reused: a pooled connection that
-//! the other end has just closed cannot take such a call down with it.
+//! Redirects are off, because a client that resends would break at-most-once
+//! execution. Calls that must not be repeated use a client that never reuses
+//! connections, so they cannot fail on a pooled connection that the peer has
+//! just closed.
 
 use std::io::ErrorKind;
 use std::time::Duration;
@@ -13,10 +13,10 @@
 
 /// Longest time to set up a connection.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Idle time after which a pooled connection is closed; shorter than the
-/// usual server's five seconds, so that we close first.
+/// Idle time after which a pooled connection is closed; shorter than the usual
+/// server timeout of 5 s, so that this side closes first.
 const POOL_IDLE: Duration = Duration::from_millis(2_000);
-/// Connections a pooled client keeps; waiting for a free one is not wanted.
+/// Connections per client; 0 is unlimited, so no call waits for a free one.
 const POOL_LIMIT: usize = 0;
 /// Upper bound of any exchange; callers set shorter ones per call.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(150);
@@ -26,7 +26,7 @@
     client(POOL_IDLE)
 }
 
-/// A client that opens a connection for every call and closes it after.
+/// A client that opens a connection for every call and closes it afterwards.
 pub fn single_use_client() -> Client {
     client(Duration::ZERO)
 }
@@ -44,12 +44,11 @@
         .finish()
 }
 
-/// True when the error shows that no byte of the request was handed to a
-/// socket. Everything else may have reached the other end.
+/// True if no byte of the request was written to a socket. After any other
+/// error the request may have reached the peer.
 ///
-/// The client reports a connection that closed under a request as a connect
-/// error too, so connect errors are listed one by one: what is not known to
-/// come from dialling alone does not count.
+/// `awc` also reports a connection that closed during a request as a connect
+/// error, so only connect errors that dialling alone can cause count.
 pub fn nothing_sent(err: &SendRequestError) -> bool {
     match err {
         SendRequestError::Url(_) | SendRequestError::Http(_) => true,
--- a/crates/clients/src/lib.rs
+++ b/crates/clients/src/lib.rs
@@ -1,8 +1,8 @@
-//! Thin clients of what the platform gives: store, host list, targets.
+//! Thin clients of the platform's interfaces: store, host list, targets.
 //!
-//! One file per outside interface, each behind a narrow set of functions, so
-//! that another dialect changes one file. Clients are `awc` clients: they stay
-//! on the thread that made them, never follow a redirect and never resend.
+//! Each interface has a module with a narrow set of functions, so that a change
+//! of protocol affects one file. The clients are `awc` clients: they stay on
+//! the thread that created them, follow no redirects and never resend.
 
 pub mod host_list;
 pub mod http;
--- a/crates/clients/src/store.rs
+++ b/crates/clients/src/store.rs
@@ -1,8 +1,8 @@
 //! Client of the platform's key-value service.
 //!
-//! One POST per call, `rmp-serde` both ways. An answer that does not come is
-//! [`StoreError::Unclear`]: the write may have taken effect, and the caller
-//! has to read back before it says anything about it.
+//! One POST per call, `rmp-serde` both ways. A call without an answer fails with
+//! [`StoreError::Unclear`]: a write may have taken effect, and the caller must
+//! read the key back to determine that.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 /// Longest wait for an ordinary call.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// What a write expects to find.
+/// Condition of a write on the current value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Expect {
     Absent,
@@ -28,20 +28,20 @@
     Anything,
 }
 
-/// One call.
+/// A request to the service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreRequest {
     Get {
         key: String,
     },
-    /// Answers at once when the version differs from `seen`, else when it
-    /// changes or after `wait_ms`. Version 0 means "absent".
+    /// Returns at once if the version differs from `seen`, else when it changes
+    /// or after `wait_ms`. Version 0 means absent.
     Watch {
         key: String,
         seen: u64,
         wait_ms: u64,
     },
-    /// Compare-and-swap. With `ttl_ms` the value lapses by itself.
+    /// Compare-and-swap. With `ttl_ms` the value expires.
     Put {
         key: String,
         #[serde(with = "serde_bytes")]
@@ -51,7 +51,7 @@
     },
 }
 
-/// What the service answered.
+/// A reply of the service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreReply {
     Absent,
@@ -63,7 +63,7 @@
     Written {
         version: u64,
     },
-    /// The write found something else, given here.
+    /// The write's condition failed; contains the current value.
     Conflict {
         version: u64,
         #[serde(with = "serde_bytes")]
@@ -73,14 +73,14 @@
     Limited,
 }
 
-/// Why there is no answer.
+/// Why a call has no reply.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum StoreError {
     #[snafu(display("the store could not be reached; nothing was sent: {reason}"))]
     NotSent { reason: String },
     #[snafu(display("the store did not answer; the call may have taken effect: {reason}"))]
     Unclear { reason: String },
-    #[snafu(display("the store is over its rate limit; try again later"))]
+    #[snafu(display("the store refused the call because of its rate limit; try again later"))]
     Limited,
 }
 
@@ -102,7 +102,7 @@
     /// Reads a key: `(version, value)`, or `None` when absent.
     pub async fn get(&self, key: &str) -> Result<Option<(u64, Vec<u8>)>, StoreError> {
         let request = StoreRequest::Get { key: key.into() };
-        self.call(&request, CALL_TIMEOUT).await.map(as_value)
+        self.call(&request, CALL_TIMEOUT).await.map(into_value)
     }
 
     /// Waits until the key's version differs from `seen`; `None` when absent.
@@ -117,7 +117,9 @@
             seen,
             wait_ms: wait.as_millis() as u64,
         };
-        self.call(&request, wait + CALL_TIMEOUT).await.map(as_value)
+        self.call(&request, wait + CALL_TIMEOUT)
+            .await
+            .map(into_value)
     }
 
     /// Writes a key; the reply is `Written` or `Conflict`.
@@ -158,30 +160,30 @@
                     reason: err.to_string(),
                 })
             }
-            Err(err) => return unclear(err),
+            Err(err) => return outcome_unknown(err),
         };
         if !res.status().is_success() {
-            return unclear(format!("status {}", res.status()));
+            return outcome_unknown(format!("status {}", res.status()));
         }
         let body = match res.body().limit(MAX_REPLY_BYTES).await {
             Ok(body) => body,
-            Err(err) => return unclear(err),
+            Err(err) => return outcome_unknown(err),
         };
         match rmp_serde::from_slice(&body) {
             Ok(StoreReply::Limited) => Err(StoreError::Limited),
             Ok(reply) => Ok(reply),
-            Err(err) => unclear(err),
+            Err(err) => outcome_unknown(err),
         }
     }
 }
 
-fn unclear<T>(err: impl ToString) -> Result<T, StoreError> {
+fn outcome_unknown<T>(err: impl ToString) -> Result<T, StoreError> {
     Err(StoreError::Unclear {
         reason: err.to_string(),
     })
 }
 
-fn as_value(reply: StoreReply) -> Option<(u64, Vec<u8>)> {
+fn into_value(reply: StoreReply) -> Option<(u64, Vec<u8>)> {
     match reply {
         StoreReply::Value { version, value } | StoreReply::Conflict { version, value } => {
             Some((version, value))
--- a/crates/clients/src/target.rs
+++ b/crates/clients/src/target.rs
@@ -1,9 +1,8 @@
 //! Client of targets: one call, answered in JSON or as a token stream.
 //!
-//! Every call carries a dispatch id that the target echoes. An answer with
-//! another id belongs to another call and is never handed on. A JSON answer is
-//! whole when its stated length matches; a stream when its end event comes
-//! with the right number of tokens.
+//! Every call carries a dispatch id that the target echoes; an answer with a
+//! different id is rejected. A JSON answer is complete if its declared length
+//! matches, a stream if its end event has the expected number of tokens.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -18,20 +17,20 @@
 
 use crate::http;
 
-/// Carries the dispatch id both ways.
+/// Dispatch id, in requests and answers.
 pub const DISPATCH_HEADER: &str = "hollowsail-dispatch";
-/// Remaining time in milliseconds, relative.
+/// Time until the deadline, in milliseconds.
 pub const REMAINING_HEADER: &str = "hollowsail-remaining-ms";
 /// Organisation on whose behalf the call runs.
 pub const ORGANISATION_HEADER: &str = "hollowsail-organisation";
-/// Set by a target that takes no new work.
+/// Sent by a draining target, which takes no new work.
 pub const LEAVING_HEADER: &str = "hollowsail-leaving";
-/// Requests a target holds, as it saw them a while ago.
+/// Requests at the target, possibly out of date.
 pub const LOAD_HEADER: &str = "hollowsail-load";
 /// Largest answer in bytes.
 const MAX_ANSWER_BYTES: usize = 4 * 1024 * 1024;
 
-/// What a target is asked to do.
+/// A request to a target.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Call {
     /// `request/stage/attempt`; echoed by the target.
@@ -40,16 +39,16 @@
     pub model: Option<String>,
     pub adapter: Option<String>,
     pub priority: u8,
-    /// Names a prompt prefix that requests of one session share.
+    /// Identifies a prompt prefix that requests of one session share.
     pub session: Option<String>,
     /// 0 for services that do not generate.
     pub max_tokens: u32,
-    /// First token wanted; larger than 0 resumes a broken stream.
+    /// Position of the first token to send; above 0 when resuming a broken stream.
     pub from_token: u32,
     pub input: Value,
 }
 
-/// A whole answer that is not streamed.
+/// A complete answer that is not streamed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Answer {
     pub dispatch: String,
@@ -64,13 +63,13 @@
 pub enum TokenEvent {
     Token {
         dispatch: String,
-        /// Position of this token in the whole answer.
+        /// Position of this token in the complete answer.
         offset: u32,
         text: String,
     },
     End {
         dispatch: String,
-        /// Tokens of the whole answer.
+        /// Tokens in the complete answer.
         tokens: u32,
     },
 }
@@ -83,24 +82,24 @@
     }
 }
 
-/// How far a failed call got; what it proves about the target is decided by
-/// `hollowsail-routing`'s table, not here.
+/// How far a failed call got; `hollowsail-routing` decides what that implies
+/// about the target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Sent {
-    /// No byte was handed to a socket.
+    /// No byte was written to a socket.
     Nothing,
     /// The target answered with this refusal.
     Refusal(u16),
-    /// Some byte may have arrived and no valid answer came back.
+    /// The request may have reached the target, which sent no valid answer.
     Something,
 }
 
-/// A call that gave no valid answer.
+/// A call without a valid answer.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{reason}"))]
 pub struct CallError {
     pub sent: Sent,
-    /// The target said that it takes no new work.
+    /// The target reported that it is draining.
     pub leaving: bool,
     pub reason: String,
 }
@@ -119,7 +118,7 @@
     }
 }
 
-/// What an answer's headers say of the target itself.
+/// The target's reports on itself in an answer's headers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TargetNotice {
     pub leaving: bool,
@@ -128,7 +127,7 @@
 
 type Reply = awc::ClientResponse;
 
-/// Calls a target and reads its whole answer.
+/// Calls a target and reads its complete answer; checks dispatch id and length.
 pub async fn call(
     client: &Client,
     address: SocketAddr,
@@ -141,7 +140,7 @@
         .body()
         .limit(MAX_ANSWER_BYTES)
         .await
-        .map_err(|err| CallError::broken(format!("the answer broke off: {err}")))?;
+        .map_err(|err| CallError::broken(format!("the answer was cut off: {err}")))?;
     let answer: Answer = serde_json::from_slice(&body)
         .map_err(|err| CallError::broken(format!("the answer is not valid: {err}")))?;
     check_answer(call, answer).map(|output| (output, notice))
@@ -154,7 +153,7 @@
     let length = answer.output.to_string().len();
     if length != answer.length {
         return Err(CallError::broken(format!(
-            "the answer states {} bytes and holds {length}",
+            "the answer declares {} bytes but contains {length}",
             answer.length
         )));
     }
@@ -198,9 +197,9 @@
         Err(err) if http::nothing_sent(&err) => return Err(CallError::new(Sent::Nothing, err)),
         Err(err) => return Err(CallError::broken(err)),
     };
-    let notice = read_notice(&reply);
+    let reports = read_reports(&reply);
     if reply.status() == 200 {
-        return Ok((reply, notice));
+        return Ok((reply, reports));
     }
     let status = reply.status().as_u16();
     let sent = if (400..600).contains(&status) {
@@ -210,12 +209,12 @@
     };
     Err(CallError {
         sent,
-        leaving: notice.leaving,
+        leaving: reports.leaving,
         reason: format!("the target answered with status {status}"),
     })
 }
 
-fn read_notice<S>(reply: &awc::ClientResponse<S>) -> TargetNotice {
+fn read_reports<S>(reply: &awc::ClientResponse<S>) -> TargetNotice {
     TargetNotice {
         leaving: reply.headers().contains_key(LEAVING_HEADER),
         load: reply
@@ -228,43 +227,45 @@
 type Events =
     Pin<Box<dyn Stream<Item = Result<Event, EventStreamError<awc::error::PayloadError>>>>>;
 
-/// An open stream of tokens that checks each event as it comes.
+/// An open stream of tokens; checks the dispatch id and offset of each event.
 pub struct TokenStream {
     events: Events,
     dispatch: String,
     next_offset: u32,
 }
 
-/// What the next event of a stream is.
+/// The next step of a stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StreamStep {
     Token(String),
-    /// The end marker came and every token before it.
+    /// The end event arrived, after all tokens.
     Whole,
 }
 
 impl TokenStream {
-    /// Waits for the next token or the end marker.
+    /// Waits for the next token or the end event.
     pub async fn next(&mut self) -> Result<StreamStep, CallError> {
         loop {
             let event = match self.events.next().await {
                 Some(Ok(event)) => event,
-                Some(Err(err)) => return Err(CallError::broken(format!("stream broke: {err}"))),
-                None => return Err(CallError::broken("the stream ended without its end marker")),
+                Some(Err(err)) => {
+                    return Err(CallError::broken(format!("the stream was cut off: {err}")))
+                }
+                None => return Err(CallError::broken("the stream ended without its end event")),
             };
             let event: TokenEvent = serde_json::from_str(&event.data)
-                .map_err(|err| CallError::broken(format!("stream event is not valid: {err}")))?;
+                .map_err(|err| CallError::broken(format!("a stream event is not valid: {err}")))?;
             if event.dispatch() != self.dispatch {
                 return Err(CallError::broken("a stream event belongs to another call"));
             }
-            if let Some(step) = self.take(event)? {
+            if let Some(step) = self.accept(event)? {
                 return Ok(step);
             }
         }
     }
 
-    /// Accepts an event; a repeated token is passed over, a gap is an error.
-    fn take(&mut self, event: TokenEvent) -> Result<Option<StreamStep>, CallError> {
+    /// Checks an event; a repeated token is skipped, a gap is an error.
+    fn accept(&mut self, event: TokenEvent) -> Result<Option<StreamStep>, CallError> {
         match event {
             TokenEvent::Token { offset, .. } if offset < self.next_offset => Ok(None),
             TokenEvent::Token { offset, text, .. } if offset == self.next_offset => {
