--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -1,6 +1,6 @@
 //! The typed configuration: arenas of plain structs and small `Copy` keys.
 //!
-//! [`crate::check`] builds a [`Deployment`], which is then immutable and shared
+//! [`crate::check()`] builds a [`Deployment`], which is then immutable and shared
 //! behind an `Arc`. Keys are indices into its arenas and valid for one revision
 //! only; state that outlives a revision refers to items by name.
 
--- a/crates/observe/src/output.rs
+++ b/crates/observe/src/output.rs
@@ -1,6 +1,6 @@
 //! Non-blocking log output to standard output.
 //!
-//! Each line is one non-blocking write of at most [`MAX_LINE`] bytes, which a
+//! Each line is one non-blocking write of at most `MAX_LINE` bytes, which a
 //! pipe accepts completely or not at all. A slow reader loses lines, but never
 //! blocks the daemon or receives partial lines. The next line that is written
 //! is preceded by the number of lost lines.
