--- a/crates/bench/src/commands/soak.rs
+++ b/crates/bench/src/commands/soak.rs
@@ -42,7 +42,7 @@
 
 impl Arguments {
     pub async fn run(self) -> Result<bool, BenchError> {
-        let mut all_good = true;
+        let mut all_succeeded = true;
         for seed in self.seed..self.seed + self.seeds {
             let options = SoakOptions {
                 seed,
@@ -56,8 +56,8 @@
                 .await
                 .map_err(|source| BenchError::Soak { source })?;
             println!("{report}");
-            all_good &= report.is_good();
+            all_succeeded &= report.is_success();
         }
-        Ok(all_good)
+        Ok(all_succeeded)
     }
 }
--- a/crates/bench/src/day/bound.rs
+++ b/crates/bench/src/day/bound.rs
@@ -1,23 +1,22 @@
-//! What no policy can exceed on a day: pools as fluids with whole batches.
+//! Upper bound of the credit that any policy can reach on a day.
 //!
-//! Each piece takes its part of a whole call, no more; a request that can't be
-//! in time behind the work of those before it takes no work at all, as if it
-//! were known beforehand. Calls, memory and engines' queues cost nothing, so
-//! the bound is above what any batching can reach.
+//! Pools are modelled as fluids: each piece costs its share of a full call. A request that
+//! can't meet its target behind the backlog is dropped without cost. Call boundaries, memory
+//! and engine queues are ignored.
 
 use super::draw::DrawnRequest;
 use super::model::{DayModel, StageModel};
 
-/// Mean credit of the day's requests under these terms, 0 to 1.
+/// Upper bound of the day's credit as a share of the possible credit, 0 to 1.
 pub fn credit(day: &DayModel, requests: &[DrawnRequest]) -> f64 {
     let mut backlog_ms = vec![0.0f64; day.pools.len()];
     let mut last_at = 0;
     let (mut credit, mut owed) = (0.0, 0.0);
     for request in requests {
-        let passed = (request.at_ms - last_at) as f64;
+        let elapsed_ms = (request.at_ms - last_at) as f64;
         last_at = request.at_ms;
         for (pool, backlog) in day.pools.iter().zip(&mut backlog_ms) {
-            *backlog = (*backlog - passed * pool.workers as f64).max(0.0);
+            *backlog = (*backlog - elapsed_ms * pool.workers as f64).max(0.0);
         }
         let kind = &day.kinds[request.kind];
         owed += kind.worth;
@@ -33,20 +32,24 @@
     credit / owed.max(f64::MIN_POSITIVE)
 }
 
-/// Worker time of some pieces of a stage in whole batches.
+/// Worker time of pieces of a stage in full batches, in milliseconds.
 fn work_ms(day: &DayModel, stage: &StageModel, pieces: usize) -> f64 {
     let pool = &day.pools[stage.pool];
     let each = pool.call_ms / pool.batch as f64 + pool.piece_ms * stage.work;
     each * pieces as f64
 }
 
-/// Time to the first event: the longest way through the stages behind the
-/// backlogs, and reading the request's own tokens.
+/// Time to the first event, in milliseconds: the critical path through the stages behind the
+/// backlogs, and the prefill of the request's own tokens.
 fn needed_ms(day: &DayModel, request: &DrawnRequest, backlog_ms: &[f64]) -> f64 {
     let kind = &day.kinds[request.kind];
     let mut done: Vec<f64> = Vec::with_capacity(kind.stages.len());
     for (stage, &pieces) in kind.stages.iter().zip(&request.pieces) {
-        let before = stage.after.iter().map(|&at| done[at]).fold(0.0, f64::max);
+        let before = stage
+            .after
+            .iter()
+            .map(|&index| done[index])
+            .fold(0.0, f64::max);
         let pool = &day.pools[stage.pool];
         let own = match pieces {
             0 => 0.0,
--- a/crates/bench/src/day/draw.rs
+++ b/crates/bench/src/day/draw.rs
@@ -1,5 +1,5 @@
-//! Draws a day's requests before anything is played, so that every policy gets
-//! the same.
+//! Draws the requests of a day from a seed, before the simulation starts: every policy gets
+//! the same requests.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -8,27 +8,26 @@
 
 use super::model::{DayModel, TroubleKind};
 
-/// How unlike the sizes of requests are: pieces and tokens of one lie between
-/// 1 - SPREAD and 1 + SPREAD times the mean.
+/// Spread of pieces and tokens of a request: 1 - SPREAD to 1 + SPREAD times the mean.
 const SPREAD: f64 = 0.6;
 
-/// One request to come.
+/// A drawn request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DrawnRequest {
     pub at_ms: u64,
-    /// Position of its kind.
+    /// Index of its kind.
     pub kind: usize,
-    /// Pieces of each stage; 0 leaves it out.
+    /// Number of pieces of each stage; 0 skips the stage.
     pub pieces: Vec<usize>,
-    /// Which of the kind's shared parts its prompt begins with.
-    pub part: u32,
+    /// Which of the kind's shared prefixes its prompt begins with.
+    pub prefix: u32,
     pub own_tokens: u64,
     pub events: u32,
-    /// Entry that it comes to.
+    /// Index of the entry that receives it.
     pub entry: usize,
 }
 
-/// All requests of a day, in order of time.
+/// Draws all requests of a day, in order of time.
 pub fn draw_requests(model: &DayModel, seed: u64) -> Vec<DrawnRequest> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut requests = Vec::new();
@@ -51,26 +50,28 @@
     }
 }
 
-/// Weight of each kind at a moment.
+/// Weight of each kind at a time.
 fn weights(model: &DayModel, at_ms: u64) -> Vec<f64> {
     let factor = |kind: usize| -> f64 {
-        let troubles = model.troubles.iter().filter(|t| t.is_on(at_ms));
+        let troubles = model.troubles.iter().filter(|t| t.is_active(at_ms));
         let factors = troubles.map(|trouble| match &trouble.kind {
             TroubleKind::Burst { kind: None, factor } => *factor,
             TroubleKind::Burst {
-                kind: Some(of),
+                kind: Some(affected),
                 factor,
-            } if *of == kind => *factor,
+            } if *affected == kind => *factor,
             _ => 1.0,
         });
         factors.product()
     };
     let kinds = model.kinds.iter().enumerate();
-    kinds.map(|(at, kind)| kind.share * factor(at)).collect()
+    kinds
+        .map(|(index, kind)| kind.share * factor(index))
+        .collect()
 }
 
-fn draw_one(model: &DayModel, kind_at: usize, at_ms: u64, rng: &mut SmallRng) -> DrawnRequest {
-    let kind = &model.kinds[kind_at];
+fn draw_one(model: &DayModel, kind_index: usize, at_ms: u64, rng: &mut SmallRng) -> DrawnRequest {
+    let kind = &model.kinds[kind_index];
     let pieces = kind
         .stages
         .iter()
@@ -81,9 +82,9 @@
         .collect();
     DrawnRequest {
         at_ms,
-        kind: kind_at,
+        kind: kind_index,
         pieces,
-        part: rng.random_range(0..kind.parts),
+        prefix: rng.random_range(0..kind.parts),
         own_tokens: spread(kind.own_tokens as f64, rng) as u64,
         events: spread(f64::from(kind.events), rng).max(1.0) as u32,
         entry: rng.random_range(0..model.entries),
--- a/crates/bench/src/day/engines.rs
+++ b/crates/bench/src/day/engines.rs
@@ -1,5 +1,7 @@
-//! Engines that read prompts one after the other, keep their shared parts, and
-//! make events more slowly the more runs they have. Some name a limit for a while.
+//! The simulated engines.
+//!
+//! An engine prefills prompts one after the other, caches their shared prefixes, and produces
+//! events more slowly the more runs it has. Some engines report a limit for a while.
 
 use std::collections::HashMap;
 
@@ -12,62 +14,62 @@
 use rand::{Rng, SeedableRng};
 
 use super::model::{DayModel, EngineModel};
-use super::policy::{DayPolicy, Engines};
+use super::policy::{DayPolicy, EngineChoice};
 
 /// One engine.
 #[derive(Debug, Default)]
 struct Engine {
-    /// When it has read all prompts that it got.
-    reads_until: f64,
+    /// When the prefill of all its prompts is done, in milliseconds.
+    prefill_until: f64,
     running: u32,
-    /// Parts that it keeps, by when they were last used, and their tokens.
-    kept: HashMap<String, (u64, u64)>,
+    /// Cached prefixes with the time of their last use, in milliseconds, and their tokens.
+    cached_prefixes: HashMap<String, (u64, u64)>,
 }
 
-/// What is sent to an engine.
+/// A prompt for an engine.
 #[derive(Debug, Clone)]
 pub struct Prompt {
-    /// Its shared part; parts of one kind have the same size.
-    pub part: String,
+    /// Name of its shared prefix; prefixes of one kind have the same length.
+    pub prefix: String,
     pub shared_tokens: u64,
     pub own_tokens: u64,
     pub events: u32,
-    /// Data hall of the entry that sends it.
+    /// Index of the data hall of the sending entry.
     pub hall: usize,
-    /// Bytes of the results that it starts from, by data hall.
+    /// Data halls and sizes in bytes of the results that it needs.
     pub results: Vec<(usize, u64)>,
 }
 
-/// A prompt at an engine.
+/// A prompt running at an engine.
 #[derive(Debug, Clone, Copy)]
 pub struct Run {
     pub engine: usize,
     placement: Option<PlacementKey>,
-    /// When its first event comes, and its last one.
+    /// Times of its first and its last event, in milliseconds.
     pub first_event_at: u64,
     pub ends_at: u64,
 }
 
-/// Where a prompt goes.
+/// Outcome of sending a prompt.
 #[derive(Debug, Clone, Copy)]
-pub enum Sent {
-    Runs(Run),
-    /// All engines have had what they take; one opens then, if no other prompt gets it.
-    OpensAt(u64),
+pub enum SendOutcome {
+    Running(Run),
+    /// All engines are busy; one accepts a prompt at this time, unless another takes it first.
+    BusyUntil(u64),
 }
 
-/// All engines, and who chooses among them.
+/// All engines and the scheduler that chooses among them.
 pub struct EnginePool {
     day: DayModel,
     model: EngineModel,
-    /// The engines as the desk knows them.
-    known: Vec<DeskEngine<usize>>,
+    /// The engines as the scheduler sees them.
+    schedulable: Vec<DeskEngine<usize>>,
     engines: Vec<Engine>,
-    desk: EngineDesk<usize>,
-    choice: Engines,
+    scheduler: EngineDesk<usize>,
+    choice: EngineChoice,
     rng: SmallRng,
-    /// Tokens of shared parts that were read though some engine kept them.
-    pub read_again: u64,
+    /// Prefix tokens prefilled on one engine while another one had them cached.
+    pub recomputed_tokens: u64,
 }
 
 fn hall_name(hall: usize) -> String {
@@ -75,81 +77,81 @@
 }
 
 impl EnginePool {
-    /// Idle engines, spread over the halls.
+    /// Creates idle engines spread over the halls.
     pub fn new(day: &DayModel, policy: &DayPolicy, seed: u64) -> Self {
-        let mut desk = EngineDesk::default();
+        let mut scheduler = EngineDesk::default();
         let engines: Vec<DeskEngine<usize>> = (0..day.engines.count)
-            .map(|at| DeskEngine {
-                key: at,
+            .map(|index| DeskEngine {
+                key: index,
                 slots: day.engines.slots,
-                hall: hall_name(at % day.halls),
+                hall: hall_name(index % day.halls),
                 version: String::new(),
                 cold: None,
                 limit: None,
             })
             .collect();
-        desk.set_engines(0, &engines);
-        desk.set_limit_share(LimitShare::owned_for(SETTLED_AFTER_MS));
+        scheduler.set_engines(0, &engines);
+        scheduler.set_limit_share(LimitShare::owned_for(SETTLED_AFTER_MS));
         EnginePool {
             day: day.clone(),
-            known: engines,
+            schedulable: engines,
             model: day.engines.clone(),
             engines: (0..day.engines.count).map(|_| Engine::default()).collect(),
-            desk,
+            scheduler,
             choice: policy.engines,
             rng: SmallRng::seed_from_u64(seed),
-            read_again: 0,
+            recomputed_tokens: 0,
         }
     }
 
-    /// Has the desk know what the engines name as their limits now.
-    fn take_limits(&mut self, now: u64) {
-        let mut is_news = false;
-        for engine in &mut self.known {
+    /// Passes the engines' current limits to the scheduler.
+    fn update_limits(&mut self, now: u64) {
+        let mut has_changed = false;
+        for engine in &mut self.schedulable {
             let limit = self.day.engine_limit(engine.key, now);
-            is_news |= limit != engine.limit;
+            has_changed |= limit != engine.limit;
             engine.limit = limit;
         }
-        if is_news {
-            self.desk.set_engines(now, &self.known);
+        if has_changed {
+            self.scheduler.set_engines(now, &self.schedulable);
         }
     }
 
-    /// Sends a prompt to an engine, if one is open.
-    pub fn send(&mut self, prompt: &Prompt, now: u64) -> Sent {
-        self.take_limits(now);
+    /// Sends a prompt to an engine that accepts one, if there is any.
+    pub fn send(&mut self, prompt: &Prompt, now: u64) -> SendOutcome {
+        self.update_limits(now);
         let Some((engine, placement)) = self.choose(prompt, now) else {
-            let opens = self.desk.next_opening(now);
-            return Sent::OpensAt(opens.unwrap_or(now + 1));
+            let next = self.scheduler.next_opening(now);
+            return SendOutcome::BusyUntil(next.unwrap_or(now + 1));
         };
-        let to_read = self.tokens_to_read(engine, prompt, now);
+        let prefill_tokens = self.prefill_tokens(engine, prompt, now);
         let state = &mut self.engines[engine];
         state.running += 1;
-        let begins = state.reads_until.max(now as f64);
-        state.reads_until = begins + to_read as f64 / self.model.tokens_per_ms;
-        let crowd = 1.0 + f64::from(state.running) / f64::from(self.model.slots);
-        let event_ms = self.model.event_ms * crowd;
-        let first = state.reads_until + event_ms;
-        Sent::Runs(Run {
+        let prefill_start = state.prefill_until.max(now as f64);
+        state.prefill_until = prefill_start + prefill_tokens as f64 / self.model.tokens_per_ms;
+        let slowdown = 1.0 + f64::from(state.running) / f64::from(self.model.slots);
+        let event_ms = self.model.event_ms * slowdown;
+        let first_event_at = state.prefill_until + event_ms;
+        SendOutcome::Running(Run {
             engine,
             placement,
-            first_event_at: first as u64,
-            ends_at: (first + event_ms * f64::from(prompt.events)) as u64,
+            first_event_at: first_event_at as u64,
+            ends_at: (first_event_at + event_ms * f64::from(prompt.events)) as u64,
         })
     }
 
     fn choose(&mut self, prompt: &Prompt, now: u64) -> Option<(usize, Option<PlacementKey>)> {
-        let affinity = |engine: &usize| rendezvous::score(&prompt.part, engine);
+        let affinity = |engine: &usize| rendezvous::score(&prompt.prefix, engine);
         match self.choice {
-            Engines::Random => Some((self.rng.random_range(0..self.engines.len()), None)),
-            Engines::ByPart => (0..self.engines.len())
+            EngineChoice::Random => Some((self.rng.random_range(0..self.engines.len()), None)),
+            EngineChoice::PrefixAffinity => (0..self.engines.len())
                 .max_by_key(affinity)
                 .map(|engine| (engine, None)),
-            Engines::Desk => {
+            EngineChoice::Scheduler => {
                 let results = prompt.results.iter();
                 let demand = Demand {
                     from_hall: hall_name(prompt.hall),
-                    part: prompt.part.clone(),
+                    part: prompt.prefix.clone(),
                     shared_tokens: prompt.shared_tokens,
                     prompt_tokens: prompt.shared_tokens + prompt.own_tokens,
                     avoid: Vec::new(),
@@ -162,54 +164,54 @@
                     urgency: 0,
                     waits_ms: 0,
                 };
-                let (key, engine) = self.desk.place(now, &demand, affinity)?;
+                let (key, engine) = self.scheduler.place(now, &demand, affinity)?;
                 Some((engine, Some(key)))
             }
         }
     }
 
-    /// Tokens that the engine has to read of a prompt; it keeps the shared part
-    /// from now on, and gives up parts that were not used for longest.
-    fn tokens_to_read(&mut self, engine: usize, prompt: &Prompt, now: u64) -> u64 {
-        let is_kept = |engine: &Engine| engine.kept.contains_key(&prompt.part);
-        let kept_here = is_kept(&self.engines[engine]);
-        if !kept_here && self.engines.iter().any(is_kept) {
-            self.read_again += prompt.shared_tokens;
+    /// Tokens of a prompt that the engine has to prefill. Caches the shared prefix and evicts
+    /// the least recently used ones.
+    fn prefill_tokens(&mut self, engine: usize, prompt: &Prompt, now: u64) -> u64 {
+        let is_cached = |engine: &Engine| engine.cached_prefixes.contains_key(&prompt.prefix);
+        let cached_here = is_cached(&self.engines[engine]);
+        if !cached_here && self.engines.iter().any(is_cached) {
+            self.recomputed_tokens += prompt.shared_tokens;
         }
-        let kept = &mut self.engines[engine].kept;
-        kept.insert(prompt.part.clone(), (now, prompt.shared_tokens));
-        while kept.values().map(|(_, tokens)| tokens).sum::<u64>() > self.model.kept_tokens {
-            let oldest = kept
+        let cached = &mut self.engines[engine].cached_prefixes;
+        cached.insert(prompt.prefix.clone(), (now, prompt.shared_tokens));
+        while cached.values().map(|(_, tokens)| tokens).sum::<u64>() > self.model.kept_tokens {
+            let oldest = cached
                 .iter()
-                .min_by_key(|(part, (used, _))| (*used, (*part).clone()));
-            let Some(oldest) = oldest.map(|(part, _)| part.clone()) else {
+                .min_by_key(|(prefix, (used, _))| (*used, (*prefix).clone()));
+            let Some(oldest) = oldest.map(|(prefix, _)| prefix.clone()) else {
                 break;
             };
-            kept.remove(&oldest);
+            cached.remove(&oldest);
         }
-        match kept_here {
+        match cached_here {
             true => prompt.own_tokens,
             false => prompt.own_tokens + prompt.shared_tokens,
         }
     }
 
-    /// A run's first event came.
+    /// Handles the first event of a run: its prefill is done.
     pub fn first_event(&mut self, run: Run, now: u64) {
         if let Some(key) = run.placement {
-            self.desk.prompt_read(key, now);
+            self.scheduler.prompt_read(key, now);
         }
     }
 
-    /// A run ended, whole or because its caller left.
-    pub fn ended(&mut self, run: Run, whole: bool, now: u64) {
+    /// Ends a run, either `completed` or abandoned by its caller.
+    pub fn end_run(&mut self, run: Run, completed: bool, now: u64) {
         let state = &mut self.engines[run.engine];
         state.running = state.running.saturating_sub(1);
-        let end = match whole {
+        let end = match completed {
             true => PlacementEnd::Whole,
             false => PlacementEnd::Left,
         };
         if let Some(key) = run.placement {
-            self.desk.ended(key, end, now);
+            self.scheduler.ended(key, end, now);
         }
     }
 }
--- a/crates/bench/src/day/mod.rs
+++ b/crates/bench/src/day/mod.rs
@@ -1,15 +1,9 @@
-//! A day of a deployment, emulated in one thread: stage pools with batches and
-//! memory for results, engines that read prompts and keep their parts, callers
-//! who leave.
+//! Single-threaded discrete-event simulation of a day of a deployment, to compare policies.
 //!
-//! It drives the decision crates that the daemons use (`hollowsail-stages`,
-//! `hollowsail-routing`) without sockets, so a policy is compared over hundreds
-//! of seeds in seconds. [`model`] is what a scenario file says, [`draw`] draws
-//! the requests, [`world`] plays them with a [`policy`], [`bound`] says what no
-//! policy can exceed, and [`report`] sums up.
-//!
-//! It knows no faults of hosts, store or network, no messages between entries
-//! and no processor time: those belong to days that real processes play.
+//! It drives the decision crates of the daemons (`hollowsail-stages`, `hollowsail-routing`)
+//! without sockets: [`draw`] draws the requests of a [`model`], [`world`] plays them with a
+//! [`policy`], [`bound`] computes an upper bound and [`report`] sums up. Faults of hosts, store
+//! and network, messages between entries and CPU time are not simulated.
 
 pub mod bound;
 pub mod draw;
--- a/crates/bench/src/day/model.rs
+++ b/crates/bench/src/day/model.rs
@@ -1,4 +1,6 @@
-//! What a day's scenario file says: pools, engines, kinds of request, troubles.
+//! The scenario file of a simulated day: pools, engines, kinds of request, troubles.
+//!
+//! Parsing collects every fault of the file before it fails.
 
 use std::path::Path;
 
@@ -8,13 +10,13 @@
 
 use crate::scenario::read_source;
 
-/// A deployment and its day.
+/// A deployment and its load over a day.
 #[derive(Debug, Clone, Default)]
 pub struct DayModel {
     pub seconds: f64,
     pub entries: usize,
     pub halls: usize,
-    /// Requests a second, all kinds together.
+    /// Requests per second of all kinds.
     pub rate: f64,
     pub engines: EngineModel,
     pub pools: Vec<PoolModel>,
@@ -22,20 +24,20 @@
     pub troubles: Vec<Trouble>,
 }
 
-/// The engines; all are alike.
+/// The engines; all have the same parameters.
 #[derive(Debug, Clone, Default)]
 pub struct EngineModel {
     pub count: usize,
     pub slots: u32,
-    /// Prompt tokens read in a millisecond.
+    /// Prefill speed in prompt tokens per millisecond.
     pub tokens_per_ms: f64,
-    /// Time of an event with nothing else running, in milliseconds.
+    /// Time per event on an otherwise idle engine, in milliseconds.
     pub event_ms: f64,
-    /// Tokens of prompts' shared parts that it keeps.
+    /// Capacity of the prefix cache, in tokens.
     pub kept_tokens: u64,
 }
 
-/// Workers of one stage service; all are alike.
+/// Workers of one stage service; all have the same parameters.
 #[derive(Debug, Clone)]
 pub struct PoolModel {
     pub name: String,
@@ -43,7 +45,7 @@
     pub batch: usize,
     pub call_ms: f64,
     pub piece_ms: f64,
-    /// Memory for results at each worker, in bytes.
+    /// Memory for results per worker, in bytes.
     pub result_bytes: u64,
 }
 
@@ -56,10 +58,10 @@
     pub priority: u8,
     pub target_ms: u64,
     pub deadline_ms: u64,
-    /// Credit of an answer in time, and of a late one.
+    /// Credit of an answer within the target, and of a late one.
     pub worth: f64,
     pub late_worth: f64,
-    /// Tokens that requests share, and how many such parts there are.
+    /// Length of a shared prompt prefix in tokens, and the number of different prefixes.
     pub shared_tokens: u64,
     pub parts: u32,
     pub own_tokens: u64,
@@ -70,19 +72,20 @@
 /// One stage of a kind.
 #[derive(Debug, Clone)]
 pub struct StageModel {
-    /// Position of its pool.
+    /// Index of its pool.
     pub pool: usize,
+    /// Indexes of the stages whose results it needs.
     pub after: Vec<usize>,
-    /// Mean number of pieces, where the stage isn't left out.
+    /// Mean number of pieces of requests that have the stage.
     pub pieces: f64,
-    /// Part of the requests that have the stage.
+    /// Probability that a request has the stage.
     pub probability: f64,
     pub result_bytes: u64,
-    /// A piece's time over the pool's.
+    /// Time per piece as a multiple of the pool's.
     pub work: f64,
 }
 
-/// Something that goes wrong for a while.
+/// A disturbance with its time span.
 #[derive(Debug, Clone)]
 pub struct Trouble {
     pub kind: TroubleKind,
@@ -90,71 +93,73 @@
     pub for_ms: u64,
 }
 
-/// What goes wrong.
+/// Kinds of disturbance.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TroubleKind {
-    /// Requests of a kind (all, when absent) are multiplied.
+    /// Multiplies the requests of a kind, or of all kinds if absent.
     Burst { kind: Option<usize>, factor: f64 },
-    /// Some workers of a pool take a multiple of their time.
+    /// The first `workers` workers of a pool take a multiple of their time.
     Slow {
         pool: usize,
         workers: usize,
         factor: f64,
     },
-    /// Some workers of a pool fail every call.
+    /// The first `workers` workers of a pool fail every call.
     Down { pool: usize, workers: usize },
-    /// Some engines name so many requests a second as their limit.
+    /// The first `engines` engines report a limit of `per_s` requests per second.
     Limited { engines: usize, per_s: f64 },
-    /// All entries are gone: what is under way is lost, and requests that come
-    /// meanwhile are taken when it is over.
+    /// All entries are down: requests in flight are lost, and new ones wait until the end of
+    /// the trouble.
     Restart,
 }
 
 impl Trouble {
-    /// True while it lasts.
-    pub fn is_on(&self, at_ms: u64) -> bool {
+    pub fn is_active(&self, at_ms: u64) -> bool {
         (self.at_ms..self.at_ms + self.for_ms).contains(&at_ms)
     }
 }
 
 impl PoolModel {
-    /// Time of a call with so many plain pieces, in milliseconds.
+    /// Expected time of a call with `pieces` pieces of average work, in milliseconds.
     pub fn expected_ms(&self, pieces: usize) -> f64 {
         self.call_ms + self.piece_ms * pieces as f64
     }
 }
 
 impl DayModel {
-    /// Times in which all entries are gone.
+    /// Troubles during which all entries are down.
     pub fn restarts(&self) -> impl Iterator<Item = &Trouble> {
         let troubles = self.troubles.iter();
         troubles.filter(|trouble| trouble.kind == TroubleKind::Restart)
     }
 
-    /// Requests a second that an engine names as its limit at a moment; the lowest, where
-    /// troubles overlap.
+    /// Limit that an engine reports at a time, in requests per second; the lowest if troubles
+    /// overlap.
     pub fn engine_limit(&self, engine: usize, at_ms: u64) -> Option<f64> {
-        let on = self.troubles.iter().filter(|trouble| trouble.is_on(at_ms));
-        let limits = on.filter_map(|trouble| match trouble.kind {
+        let active = self
+            .troubles
+            .iter()
+            .filter(|trouble| trouble.is_active(at_ms));
+        let limits = active.filter_map(|trouble| match trouble.kind {
             TroubleKind::Limited { engines, per_s } if engine < engines => Some(per_s),
             _ => None,
         });
         limits.min_by(f64::total_cmp)
     }
 
-    /// Reads a scenario; every fault of the file is named.
+    /// Reads a scenario file; the error lists every fault in it.
     pub fn read(path: &Path) -> Result<Self, Faults> {
         Self::parse(&read_source(path)?)
     }
 
-    /// Reads a scenario's text. Pools and kinds are named before they are used.
+    /// Parses a scenario. Pools and kinds must be defined before they are used.
     pub fn parse(source: &SourceFile) -> Result<Self, Faults> {
         let mut model = DayModel::default();
         let faults = read_sections(source, |section| model.read_section(section))?;
         faults.into_result(model)
     }
 
-    /// Reads a section, or says which sections there are.
+    /// Reads a section; the error lists the allowed section names.
     fn read_section(&mut self, section: &Section<'_>) -> Result<(), &'static str> {
         let name = section.name();
         match name.split_once('.') {
@@ -180,7 +185,7 @@
 
     fn read_stage(&mut self, section: &Section<'_>) {
         let kind_name = section.item_name().split('.').next().unwrap_or_default();
-        let pool = self.pool_at(section);
+        let pool = self.pool_index(section);
         let after = section.list("after");
         let after: Vec<usize> = after.iter().filter_map(|text| text.parse().ok()).collect();
         let stage = StageModel {
@@ -192,15 +197,17 @@
             work: section.number("work", 1.0, 0.0..=100.0),
         };
         let Some(kind) = self.kinds.iter_mut().find(|kind| kind.name == kind_name) else {
-            section.fault("", "belongs to no kind; name kind.NAME before its stages");
+            section.fault(
+                "",
+                "refers to an unknown kind; define kind.NAME before its stages",
+            );
             return;
         };
-        if stage
-            .after
-            .iter()
-            .any(|&before| before >= kind.stages.len())
-        {
-            section.fault("after", "names a stage that doesn't come before this one");
+        if stage.after.iter().any(|&index| index >= kind.stages.len()) {
+            section.fault(
+                "after",
+                "refers to a stage that is not defined before this one",
+            );
             return;
         }
         kind.stages.push(stage);
@@ -211,16 +218,18 @@
         let workers = || section.number("workers", 1, 1..=10_000);
         let kind = match section.required("what") {
             "burst" => TroubleKind::Burst {
-                kind: section.text("kind").map(|name| self.kind_at(section, name)),
+                kind: section
+                    .text("kind")
+                    .map(|name| self.kind_index(section, name)),
                 factor: factor(),
             },
             "slow" => TroubleKind::Slow {
-                pool: self.pool_at(section),
+                pool: self.pool_index(section),
                 workers: workers(),
                 factor: factor(),
             },
             "down" => TroubleKind::Down {
-                pool: self.pool_at(section),
+                pool: self.pool_index(section),
                 workers: workers(),
             },
             "limited" => TroubleKind::Limited {
@@ -243,19 +252,25 @@
         });
     }
 
-    fn pool_at(&self, section: &Section<'_>) -> usize {
+    fn pool_index(&self, section: &Section<'_>) -> usize {
         let name = section.required("pool");
         let found = self.pools.iter().position(|pool| pool.name == name);
         found.unwrap_or_else(|| {
-            section.fault("pool", "names no pool; name pool.NAME before it is used");
+            section.fault(
+                "pool",
+                "refers to an unknown pool; define pool.NAME before it is used",
+            );
             0
         })
     }
 
-    fn kind_at(&self, section: &Section<'_>, name: &str) -> usize {
+    fn kind_index(&self, section: &Section<'_>, name: &str) -> usize {
         let found = self.kinds.iter().position(|kind| kind.name == name);
         found.unwrap_or_else(|| {
-            section.fault("kind", "names no kind; name kind.NAME before it is used");
+            section.fault(
+                "kind",
+                "refers to an unknown kind; define kind.NAME before it is used",
+            );
             0
         })
     }
--- a/crates/bench/src/day/policy.rs
+++ b/crates/bench/src/day/policy.rs
@@ -1,63 +1,67 @@
-//! Policies of a day by name: what the daemon does, and the same with one
-//! mechanism taken out.
+//! Policies of a simulated day by name: the daemon's own, and the same with one mechanism
+//! disabled.
 
 use crate::policy::{OWN, WITHOUT};
 
-/// Who batches the pieces of a pool.
+/// Which queues batch the pieces of a pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Queues {
     /// One queue for all entries.
     Shared,
-    /// Every entry batches its own.
+    /// One queue per entry.
     PerEntry,
 }
 
-/// Who chooses engines.
+/// How engines are chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Engines {
-    /// A desk that knows what all entries have there.
-    Desk,
-    /// The prompt's shared part alone.
-    ByPart,
+pub enum EngineChoice {
+    /// By a scheduler that tracks the load from all entries.
+    Scheduler,
+    /// By the hash of the shared prefix alone.
+    PrefixAffinity,
     Random,
 }
 
-/// Time kept for each later stage of a request.
+/// Time reserved for each later stage of a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Kept {
-    /// So many whole calls of the stage's pool.
+pub enum ReservedTime {
+    /// A number of full calls of the stage's pool.
     Calls(f64),
-    /// So many milliseconds.
+    /// Milliseconds.
     Ms(u64),
 }
 
-/// How the decisions are made.
+/// The mechanisms of a policy.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DayPolicy {
     pub queues: Queues,
-    pub engines: Engines,
-    /// Requests that would come too late are refused before they begin.
+    pub engines: EngineChoice,
+    /// Requests that are predicted to miss their target are refused on arrival.
     pub forecast: bool,
-    pub kept: Kept,
-    /// Late pieces that hold memory elsewhere don't wait behind others.
+    pub reserved: ReservedTime,
+    /// Overdue pieces with large inputs in memory go ahead of others.
     pub holders_first: bool,
 }
 
-/// Whole calls that are kept for each later stage: the daemon's figure.
-const KEPT_CALLS: f64 = 1.5;
-/// Milliseconds that are kept instead: the daemon's figure before it kept calls.
-const KEPT_MS: u64 = 250;
+/// Full calls reserved for each later stage; same as the daemon's value.
+const RESERVED_CALLS: f64 = 1.5;
+/// Time reserved for each later stage without `kept-calls`, in milliseconds.
+const RESERVED_MS: u64 = 250;
 
-/// Takes a mechanism out of a policy.
-type TakeOut = fn(&mut DayPolicy);
+/// Disables a mechanism of a policy.
+type Disable = fn(&mut DayPolicy);
 
-/// Mechanisms by name, and how each is taken out.
-const MECHANISMS: [(&str, TakeOut); 6] = [
+/// Mechanisms by name, with the function that disables each.
+const MECHANISMS: [(&str, Disable); 6] = [
     ("shared-queues", |policy| policy.queues = Queues::PerEntry),
-    ("desk", |policy| policy.engines = Engines::ByPart),
-    ("affinity", |policy| policy.engines = Engines::Random),
+    ("desk", |policy| {
+        policy.engines = EngineChoice::PrefixAffinity
+    }),
+    ("affinity", |policy| policy.engines = EngineChoice::Random),
     ("forecast", |policy| policy.forecast = false),
-    ("kept-calls", |policy| policy.kept = Kept::Ms(KEPT_MS)),
+    ("kept-calls", |policy| {
+        policy.reserved = ReservedTime::Ms(RESERVED_MS)
+    }),
     ("holders-first", |policy| policy.holders_first = false),
 ];
 
@@ -65,27 +69,27 @@
     fn default() -> Self {
         DayPolicy {
             queues: Queues::Shared,
-            engines: Engines::Desk,
+            engines: EngineChoice::Scheduler,
             forecast: true,
-            kept: Kept::Calls(KEPT_CALLS),
+            reserved: ReservedTime::Calls(RESERVED_CALLS),
             holders_first: true,
         }
     }
 }
 
 impl DayPolicy {
-    /// The policy of that name.
+    /// Returns the policy with the given name, if there is one.
     pub fn named(name: &str) -> Option<Self> {
         let mut policy = DayPolicy::default();
         if name != OWN {
             let without = name.strip_prefix(WITHOUT)?;
-            let (_, take_out) = MECHANISMS.iter().find(|(known, _)| *known == without)?;
-            take_out(&mut policy);
+            let (_, disable) = MECHANISMS.iter().find(|(known, _)| *known == without)?;
+            disable(&mut policy);
         }
         Some(policy)
     }
 
-    /// Names of all policies, this project's own first.
+    /// Names of all policies, the daemon's own first.
     pub fn names() -> Vec<String> {
         let without = MECHANISMS.map(|(name, _)| format!("{WITHOUT}{name}"));
         std::iter::once(OWN.to_string()).chain(without).collect()
--- a/crates/bench/src/day/pool.rs
+++ b/crates/bench/src/day/pool.rs
@@ -1,8 +1,8 @@
-//! Workers of one stage service, and the queues before them.
+//! The simulated workers of one stage service and the queues in front of them.
 //!
-//! A worker takes one call at a time and lets a few wait. Results fill its
-//! memory from the start of their call until they are given up; a piece whose
-//! result has no room isn't made.
+//! A worker runs one call at a time and queues a few more. Memory for results is reserved at
+//! the start of a call and held until the results are released; a piece whose result does not
+//! fit is not completed.
 
 use std::collections::VecDeque;
 
@@ -14,18 +14,18 @@
 use super::model::{DayModel, PoolModel, Trouble, TroubleKind};
 use super::policy::{DayPolicy, Queues};
 
-/// Calls that may wait at a worker.
-const MOST_WAITING: usize = 2;
-/// Time until a call to a worker that is down fails, in milliseconds.
-const FAILS_AFTER_MS: u64 = 3;
+/// Maximum number of calls waiting at a worker.
+const MAX_WAITING_CALLS: usize = 2;
+/// Time until a call to a failing worker returns, in milliseconds.
+const CALL_FAILURE_MS: u64 = 3;
 
-/// A call at a worker.
+/// A call running at a worker.
 #[derive(Debug)]
 struct Call {
     queue: usize,
     started: StartedCall,
-    /// Pieces whose results have room.
-    with_room: Vec<bool>,
+    /// For each piece, whether memory for its result is reserved.
+    has_memory: Vec<bool>,
     fails: bool,
 }
 
@@ -33,43 +33,43 @@
 struct Worker {
     running: Option<Call>,
     waiting: VecDeque<(usize, StartedCall)>,
-    held_bytes: u64,
+    reserved_bytes: u64,
 }
 
-/// A worker started a call that ends then.
+/// A worker began a call that ends at `ends_at`, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct CallBegun {
+pub struct CallStart {
     pub worker: usize,
     pub ends_at: u64,
 }
 
-/// A piece that was made, and where its result lies.
+/// A completed piece and the location of its result.
 #[derive(Debug)]
-pub struct MadePiece<T> {
+pub struct CompletedPiece<T> {
     pub job: T,
     pub queue: usize,
     pub worker: usize,
     pub bytes: u64,
 }
 
-/// The pool.
+/// A pool of workers with its queues; `T` is the job of a piece.
 pub struct Pool<T> {
-    /// Position among the day's pools, by which troubles name it.
-    at: usize,
+    /// Index among the day's pools; troubles refer to it.
+    index: usize,
     model: PoolModel,
     troubles: Vec<Trouble>,
     queues: Vec<BatchQueue<T>>,
-    /// Keys of the workers in each queue.
+    /// For each queue, the keys of the workers.
     keys: Vec<Vec<WorkerKey>>,
     workers: Vec<Worker>,
-    /// Work of a piece over the pool's, as its job tells.
+    /// Time of a job's piece as a multiple of the pool's.
     work_of: fn(&T) -> f64,
 }
 
 impl<T> Pool<T> {
-    /// Idle workers of one of the day's pools, spread over the halls.
-    pub fn new(at: usize, day: &DayModel, policy: &DayPolicy, work_of: fn(&T) -> f64) -> Self {
-        let model = &day.pools[at];
+    /// Creates the pool at `index` of the day, with idle workers spread over the halls.
+    pub fn new(index: usize, day: &DayModel, policy: &DayPolicy, work_of: fn(&T) -> f64) -> Self {
+        let model = &day.pools[index];
         let rules = PoolRules {
             running: 1,
             batch: model.batch,
@@ -87,12 +87,12 @@
             .iter_mut()
             .map(|queue| {
                 (0..model.workers)
-                    .map(|at| queue.add_worker(hall(at)))
+                    .map(|worker| queue.add_worker(hall(worker)))
                     .collect()
             })
             .collect();
         Pool {
-            at,
+            index,
             model: model.clone(),
             troubles: day.troubles.clone(),
             queues,
@@ -102,83 +102,90 @@
         }
     }
 
-    /// The queue that an entry hands its pieces to.
+    /// Index of the queue that takes an entry's pieces.
     pub fn queue_of(&self, entry: usize) -> usize {
         entry % self.queues.len()
     }
 
-    /// A piece waits from now on.
+    /// Adds a piece to a queue.
     pub fn push(&mut self, queue: usize, order: PieceOrder, job: T, now: u64) -> PieceKey {
         self.queues[queue].push(order, job, now)
     }
 
-    /// Takes a piece out that nobody waits for.
-    pub fn drop_piece(&mut self, queue: usize, piece: PieceKey) {
+    /// Removes a piece that is no longer needed.
+    pub fn cancel_piece(&mut self, queue: usize, piece: PieceKey) {
         self.queues[queue].finish(piece);
     }
 
-    /// What a piece that comes now finds.
+    /// Load that a new piece meets in a queue.
     pub fn load(&self, queue: usize, now: u64) -> QueueLoad {
         self.queues[queue].load(now)
     }
 
-    /// A result is given up.
-    pub fn free(&mut self, queue: usize, worker: usize, bytes: u64) {
+    /// Releases the memory of a result.
+    pub fn release_result(&mut self, queue: usize, worker: usize, bytes: u64) {
         self.queues[queue].free(self.keys[queue][worker], bytes);
-        let held = &mut self.workers[worker].held_bytes;
-        *held = held.saturating_sub(bytes);
+        let reserved = &mut self.workers[worker].reserved_bytes;
+        *reserved = reserved.saturating_sub(bytes);
     }
 
-    /// Makes every call that can be made now.
-    pub fn start_calls(&mut self, now: u64) -> Vec<CallBegun> {
-        let mut begun = Vec::new();
+    /// Starts every call that can start now.
+    pub fn start_calls(&mut self, now: u64) -> Vec<CallStart> {
+        let mut started_calls = Vec::new();
         for queue in 0..self.queues.len() {
             while let Some(call) = self.queues[queue].next_call(now) {
-                let worker = self.worker_of(queue, call.worker);
+                let worker = self.worker_index(queue, call.worker);
                 let state = &mut self.workers[worker];
                 if state.running.is_none() {
-                    begun.push(self.begin(worker, queue, call, now));
-                } else if state.waiting.len() < MOST_WAITING {
+                    started_calls.push(self.begin_call(worker, queue, call, now));
+                } else if state.waiting.len() < MAX_WAITING_CALLS {
                     state.waiting.push_back((queue, call));
                 } else {
-                    self.give_back(queue, &call, CallEnd::Refused, now);
+                    self.end_at_queue(queue, &call, CallEnd::Refused, now);
                 }
             }
         }
-        begun
+        started_calls
     }
 
-    /// Position of a worker that a queue names by its own key.
-    fn worker_of(&self, queue: usize, key: WorkerKey) -> usize {
+    /// Index of a worker, from a queue's key.
+    fn worker_index(&self, queue: usize, key: WorkerKey) -> usize {
         let found = self.keys[queue].iter().position(|known| *known == key);
-        found.expect("the queue knows its own workers only")
+        found.expect("queues return only keys of their own workers")
     }
 
-    /// Ends a call at its queue; pieces that it left unmade wait again.
-    fn give_back(&mut self, queue: usize, started: &StartedCall, end: CallEnd, now: u64) {
+    /// Ends a call at its queue and requeues its incomplete pieces.
+    fn end_at_queue(&mut self, queue: usize, started: &StartedCall, end: CallEnd, now: u64) {
         let queue = &mut self.queues[queue];
-        let left = queue.end_call(started.call, end, now);
-        left.into_iter().for_each(|piece| queue.requeue(piece));
+        let incomplete = queue.end_call(started.call, end, now);
+        incomplete
+            .into_iter()
+            .for_each(|piece| queue.requeue(piece));
     }
 
-    /// A worker begins a call.
-    fn begin(&mut self, worker: usize, queue: usize, started: StartedCall, now: u64) -> CallBegun {
-        let (slow, fails) = self.troubles_of(worker, now);
+    fn begin_call(
+        &mut self,
+        worker: usize,
+        queue: usize,
+        started: StartedCall,
+        now: u64,
+    ) -> CallStart {
+        let (slowdown, fails) = self.trouble_effects(worker, now);
         let ms = match fails {
-            true => FAILS_AFTER_MS,
-            false => ((self.model.call_ms + self.work_ms(queue, &started)) * slow) as u64,
+            true => CALL_FAILURE_MS,
+            false => ((self.model.call_ms + self.work_ms(queue, &started)) * slowdown) as u64,
         };
-        let with_room = match fails {
+        let has_memory = match fails {
             true => vec![false; started.pieces.len()],
-            false => self.take_room(worker, &started),
+            false => self.reserve_memory(worker, &started),
         };
         self.workers[worker].running = Some(Call {
             queue,
             started,
-            with_room,
+            has_memory,
             fails,
         });
-        CallBegun {
+        CallStart {
             worker,
             ends_at: now + ms,
         }
@@ -194,72 +201,80 @@
         works.map(|work| self.model.piece_ms * work).sum()
     }
 
-    /// Takes memory for the results of a call's pieces; tells which have room.
-    fn take_room(&mut self, worker: usize, started: &StartedCall) -> Vec<bool> {
-        let held = &mut self.workers[worker].held_bytes;
-        let most = self.model.result_bytes;
+    /// Reserves memory for a call's results; returns for each piece whether it fits.
+    fn reserve_memory(&mut self, worker: usize, started: &StartedCall) -> Vec<bool> {
+        let reserved = &mut self.workers[worker].reserved_bytes;
+        let capacity = self.model.result_bytes;
         let pieces = started.pieces.iter();
         pieces
             .map(|piece| {
-                let has_room = *held + piece.result_bytes <= most;
-                *held += if has_room { piece.result_bytes } else { 0 };
-                has_room
+                let has_memory = *reserved + piece.result_bytes <= capacity;
+                *reserved += if has_memory { piece.result_bytes } else { 0 };
+                has_memory
             })
             .collect()
     }
 
-    /// By how much a worker's time is multiplied now, and whether it fails.
-    fn troubles_of(&self, worker: usize, now: u64) -> (f64, bool) {
-        let mut slow = 1.0;
+    /// Multiple of a worker's time, and whether its calls fail, at a time.
+    fn trouble_effects(&self, worker: usize, now: u64) -> (f64, bool) {
+        let mut slowdown = 1.0;
         let mut fails = false;
-        for trouble in self.troubles.iter().filter(|trouble| trouble.is_on(now)) {
+        for trouble in self
+            .troubles
+            .iter()
+            .filter(|trouble| trouble.is_active(now))
+        {
             match trouble.kind {
                 TroubleKind::Slow {
                     pool,
                     workers,
                     factor,
-                } if pool == self.at && worker < workers => slow *= factor,
-                TroubleKind::Down { pool, workers } if pool == self.at && worker < workers => {
+                } if pool == self.index && worker < workers => slowdown *= factor,
+                TroubleKind::Down { pool, workers } if pool == self.index && worker < workers => {
                     fails = true;
                 }
                 _ => {}
             }
         }
-        (slow, fails)
+        (slowdown, fails)
     }
 
-    /// A worker's call ends: tells what it made. The caller makes further calls
-    /// with [`Pool::start_calls`]; one that waited at the worker begins at once.
-    pub fn end_call(&mut self, worker: usize, now: u64) -> (Vec<MadePiece<T>>, Option<CallBegun>) {
+    /// Ends a worker's call; returns the completed pieces and the call that was waiting at the
+    /// worker, which begins at once. The caller starts others with [`Pool::start_calls`].
+    pub fn end_call(
+        &mut self,
+        worker: usize,
+        now: u64,
+    ) -> (Vec<CompletedPiece<T>>, Option<CallStart>) {
         let Some(call) = self.workers[worker].running.take() else {
             return (Vec::new(), None);
         };
-        let mut made = Vec::new();
-        for (piece, has_room) in call.started.pieces.iter().zip(&call.with_room) {
-            made.extend(self.end_piece(worker, &call, *piece, *has_room, now));
+        let mut completed = Vec::new();
+        for (piece, has_memory) in call.started.pieces.iter().zip(&call.has_memory) {
+            completed.extend(self.end_piece(worker, &call, *piece, *has_memory, now));
         }
         let end = match call.fails {
             true => CallEnd::Failed,
             false => CallEnd::Answered,
         };
-        self.give_back(call.queue, &call.started, end, now);
-        let next = self.workers[worker].waiting.pop_front();
-        let begun = next.map(|(queue, call)| self.begin(worker, queue, call, now));
-        (made, begun)
+        self.end_at_queue(call.queue, &call.started, end, now);
+        let waiting = self.workers[worker].waiting.pop_front();
+        let next = waiting.map(|(queue, call)| self.begin_call(worker, queue, call, now));
+        (completed, next)
     }
 
-    /// Ends one piece of a call; gives it when it was made and is still wanted.
+    /// Ends one piece of a call; returns it if it was completed and is still needed.
     fn end_piece(
         &mut self,
         worker: usize,
         call: &Call,
         piece: StartedPiece,
-        has_room: bool,
+        has_memory: bool,
         now: u64,
-    ) -> Option<MadePiece<T>> {
+    ) -> Option<CompletedPiece<T>> {
         let queue = call.queue;
         let key = self.keys[queue][worker];
-        if !has_room {
+        if !has_memory {
             self.queues[queue].free(key, piece.result_bytes);
             if !call.fails {
                 self.queues[queue].no_room(key, now);
@@ -267,21 +282,20 @@
             return None;
         }
         match self.queues[queue].finish(piece.key) {
-            Some(job) => Some(MadePiece {
+            Some(job) => Some(CompletedPiece {
                 job,
                 queue,
                 worker,
                 bytes: piece.result_bytes,
             }),
             None => {
-                self.free(queue, worker, piece.result_bytes);
+                self.release_result(queue, worker, piece.result_bytes);
                 None
             }
         }
     }
 
-    /// Looks for calls that last too long, and for pieces whose time is over,
-    /// whose jobs it returns.
+    /// Handles overdue calls, and removes expired pieces and returns their jobs.
     pub fn tick(&mut self, now: u64) -> Vec<T> {
         let mut expired = Vec::new();
         for queue in &mut self.queues {
--- a/crates/bench/src/day/world/forecast.rs
+++ b/crates/bench/src/day/world/forecast.rs
@@ -1,4 +1,5 @@
-//! The daemon's forecast: a request's stages behind what waits, and its engine.
+//! The daemon's admission forecast: predicts from the queued work whether a request meets its
+//! target time.
 
 use hollowsail_routing::{admit, longest_way, ServiceLoad, StageDemand, StageExpectation, Verdict};
 
@@ -6,11 +7,11 @@
 use super::super::model::{KindModel, StageModel};
 use super::{Attempt, World, ENGINE_MS};
 
-/// Time before its target by which a request has to be foreseen to end, in
-/// milliseconds: the daemon's figure.
+/// Margin between the predicted end of a request and its target time, in milliseconds; same
+/// as the daemon's value.
 const MARGIN_MS: u64 = 150;
 
-/// The engine's own time; its queue isn't known to the forecast.
+/// The engine as the last stage; the forecast ignores its queue.
 const ENGINE: StageDemand = StageDemand {
     expected: StageExpectation::fixed(ENGINE_MS),
     load: ServiceLoad {
@@ -20,8 +21,8 @@
 };
 
 impl World<'_> {
-    /// True when a request that arrives now is foreseen to be in time.
-    pub(super) fn can_be_in_time(&self, attempt: Attempt, asked_at: u64) -> bool {
+    /// True if an attempt that arrives now is predicted to meet its target.
+    pub(super) fn meets_target(&self, attempt: Attempt, requested_at: u64) -> bool {
         let kind = self.kind(attempt);
         let request = self.drawn(attempt);
         let stages = kind.stages.iter().zip(&request.pieces);
@@ -29,13 +30,13 @@
             let demand = (pieces > 0).then(|| self.demand(kind, request, stage, pieces));
             (stage.after.as_slice(), demand)
         });
-        let mut way = longest_way(demands);
-        way.push(ENGINE);
-        let used = MARGIN_MS + self.now - asked_at;
-        admit(kind.target_ms.saturating_sub(used), &way, 0.0) == Verdict::Admit
+        let mut path = longest_way(demands);
+        path.push(ENGINE);
+        let used = MARGIN_MS + self.now - requested_at;
+        admit(kind.target_ms.saturating_sub(used), &path, 0.0) == Verdict::Admit
     }
 
-    /// What some pieces of a stage find.
+    /// Expected time and load of pieces of a stage.
     fn demand(
         &self,
         kind: &KindModel,
--- a/crates/bench/src/day/world/mod.rs
+++ b/crates/bench/src/day/world/mod.rs
@@ -1,8 +1,7 @@
-//! Plays a day's requests with a policy: an event loop over emulated time.
+//! Event loop over simulated time that plays a day's requests with a policy.
 //!
-//! An attempt of a caller arrives and is judged ([`forecast`]), has its pieces
-//! made stage by stage ([`stages`]), goes to an engine ([`answers`]), and is
-//! counted once, however it ends.
+//! An attempt of a caller arrives and passes admission ([`forecast`]), runs through its stages
+//! ([`stages`]) and then on an engine ([`answers`]). Each request is counted once.
 
 mod answers;
 mod forecast;
@@ -19,44 +18,45 @@
 use super::model::{DayModel, KindModel};
 use super::policy::DayPolicy;
 use super::pool::Pool;
-use super::report::{DayReport, End, KindReport};
+use super::report::{DayReport, KindReport, RequestOutcome};
 
 new_key_type! {
-    /// An attempt that is under way.
+    /// Key of an attempt in flight.
     struct RequestKey;
 }
 
-/// What an engine is taken to need before its first event, in milliseconds: the
-/// daemon's figure.
+/// Predicted time from an engine's start to its first event, in milliseconds; same as the
+/// daemon's value.
 const ENGINE_MS: u64 = 250;
-/// Shortest time for which a caller waits for a first event, in milliseconds,
-/// and how many targets long it waits else.
-const LEAST_PATIENCE_MS: u64 = 2_000;
+/// How long a caller waits for the first event: at least a time in milliseconds, and a
+/// multiple of its target time.
+const MIN_PATIENCE_MS: u64 = 2_000;
 const PATIENCE_TARGETS: u64 = 4;
-/// After which time a refused caller comes back, in milliseconds; once.
-const BACK_AFTER_MS: u64 = 400;
-/// Between two looks for what is over, in milliseconds: the daemon's figure.
+/// Delay before a refused caller retries, in milliseconds.
+const RETRY_DELAY_MS: u64 = 400;
+/// Interval of checks for overdue calls and expired pieces, in milliseconds; same as the
+/// daemon's value.
 const TICK_MS: u64 = 25;
 
 /// One attempt of a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Attempt {
-    /// Position of the drawn request.
+    /// Index of the drawn request.
     drawn: usize,
-    /// The caller was refused before and came back.
-    is_second: bool,
+    /// The caller retries after a refusal.
+    is_retry: bool,
 }
 
-/// A piece of a request, as its queue keeps it.
+/// The queue entry of a piece.
 #[derive(Debug, Clone, Copy)]
 struct Job {
     request: RequestKey,
-    at: PieceAt,
-    /// Its time over that of a plain piece.
+    index: PieceAt,
+    /// Its time as a multiple of the pool's.
     work: f64,
 }
 
-/// A piece that waits in a queue of a pool.
+/// Location of a queued piece.
 #[derive(Debug, Clone, Copy)]
 struct Waiting {
     pool: usize,
@@ -64,9 +64,9 @@
     piece: PieceKey,
 }
 
-/// A result that a request still needs.
+/// Location of a result that a request still needs.
 #[derive(Debug, Clone)]
-struct Held {
+struct RetainedResult {
     pool: usize,
     queue: usize,
     worker: usize,
@@ -74,54 +74,56 @@
     handle: String,
 }
 
-/// An attempt that is under way.
+/// An attempt in flight.
 struct Request {
     attempt: Attempt,
-    begun: u64,
+    /// When the caller sent it, in milliseconds.
+    requested_at: u64,
     graph: StageGraph,
-    held: HashMap<PieceAt, Held>,
+    retained: HashMap<PieceAt, RetainedResult>,
     waiting: HashMap<PieceAt, Waiting>,
     run: Option<Run>,
 }
 
 impl Request {
-    /// Its answer has begun.
-    fn has_begun(&self, now: u64) -> bool {
+    /// True once its first event has been produced.
+    fn has_first_event(&self, now: u64) -> bool {
         self.run.is_some_and(|run| run.first_event_at <= now)
     }
 }
 
-/// What happens at a moment.
+/// A simulated event. Events at the same time are handled in the order of scheduling.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Arrives(Attempt),
-    CallEnds { pool: usize, worker: usize },
-    AsksForEngine(RequestKey),
-    AnswerBegins(RequestKey),
-    RunEnds(RequestKey),
-    CallerLeaves(RequestKey),
-    EntriesGo,
+    Arrival(Attempt),
+    CallEnd { pool: usize, worker: usize },
+    EngineRetry(RequestKey),
+    AnswerStart(RequestKey),
+    RunEnd(RequestKey),
+    CallerTimeout(RequestKey),
+    EntriesDown,
     Tick,
 }
 
-/// The day as it goes.
+/// State of the simulation.
 struct World<'a> {
     day: &'a DayModel,
     policy: DayPolicy,
     drawn: &'a [DrawnRequest],
+    /// Simulated time in milliseconds.
     now: u64,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
-    /// Events so far, for their order within a moment.
+    /// Events scheduled so far; orders events at the same time.
     scheduled: u64,
     requests: SlotMap<RequestKey, Request>,
     pools: Vec<Pool<Job>>,
     engines: EnginePool,
-    /// Handles of results so far.
+    /// Handles issued so far.
     handles: u64,
     report: DayReport,
 }
 
-/// Plays drawn requests to their end.
+/// Plays drawn requests with a policy and returns the report under the given name.
 pub fn play(
     day: &DayModel,
     drawn: &[DrawnRequest],
@@ -130,19 +132,19 @@
     seed: u64,
 ) -> DayReport {
     let mut world = World::new(day, drawn, name, policy, seed);
-    for (at, request) in drawn.iter().enumerate() {
+    for (index, request) in drawn.iter().enumerate() {
         let attempt = Attempt {
-            drawn: at,
-            is_second: false,
+            drawn: index,
+            is_retry: false,
         };
-        world.schedule(world.taken_at(request.at_ms), Event::Arrives(attempt));
+        world.schedule(world.accepted_at(request.at_ms), Event::Arrival(attempt));
     }
     for restart in day.restarts() {
-        world.schedule(restart.at_ms, Event::EntriesGo);
+        world.schedule(restart.at_ms, Event::EntriesDown);
     }
     world.schedule(0, Event::Tick);
     world.run();
-    world.report.read_again = world.engines.read_again;
+    world.report.read_again = world.engines.recomputed_tokens;
     world.report
 }
 
@@ -153,7 +155,7 @@
     }
 }
 
-/// The stages of a drawn request, with its numbers of pieces.
+/// The stage graph of a drawn request; `pieces` holds the number of pieces of each stage.
 fn graph_of(kind: &KindModel, pieces: &[usize]) -> StageGraph {
     let sizes = kind.stages.iter().zip(pieces);
     StageGraph::new(
@@ -167,7 +169,6 @@
 }
 
 impl<'a> World<'a> {
-    /// Before anything has happened.
     fn new(
         day: &'a DayModel,
         drawn: &'a [DrawnRequest],
@@ -184,7 +185,7 @@
             scheduled: 0,
             requests: SlotMap::with_key(),
             pools: (0..day.pools.len())
-                .map(|at| Pool::new(at, day, &policy, |job: &Job| job.work))
+                .map(|index| Pool::new(index, day, &policy, |job: &Job| job.work))
                 .collect(),
             engines: EnginePool::new(day, &policy, seed),
             handles: 0,
@@ -205,33 +206,35 @@
         while let Some(Reverse((at, _, event))) = self.events.pop() {
             self.now = at;
             match event {
-                Event::Arrives(attempt) => self.arrive(attempt),
-                Event::CallEnds { pool, worker } => self.end_call(pool, worker),
-                Event::AsksForEngine(key) => self.send_to_engine(key),
-                Event::AnswerBegins(key) => self.first_event(key),
-                Event::RunEnds(key) => self.end_run(key),
-                Event::CallerLeaves(key) => self.caller_leaves(key),
-                Event::EntriesGo => self.lose_all(),
+                Event::Arrival(attempt) => self.arrive(attempt),
+                Event::CallEnd { pool, worker } => self.end_call(pool, worker),
+                Event::EngineRetry(key) => self.send_to_engine(key),
+                Event::AnswerStart(key) => self.first_event(key),
+                Event::RunEnd(key) => self.end_run(key),
+                Event::CallerTimeout(key) => self.time_out(key),
+                Event::EntriesDown => self.lose_in_flight(),
                 Event::Tick => self.tick(),
             }
         }
     }
 
-    /// When an entry takes a request that comes at a moment: once entries are back.
-    fn taken_at(&self, comes_at: u64) -> u64 {
-        let away = self.day.restarts().find(|restart| restart.is_on(comes_at));
-        away.map_or(comes_at, |restart| restart.at_ms + restart.for_ms)
+    /// When an entry accepts a request: on arrival, or at the end of a restart of all entries.
+    fn accepted_at(&self, arrives_at: u64) -> u64 {
+        let restart = self
+            .day
+            .restarts()
+            .find(|restart| restart.is_active(arrives_at));
+        restart.map_or(arrives_at, |restart| restart.at_ms + restart.for_ms)
     }
 
-    /// All entries go, and with them what is under way. Its results are taken to be
-    /// given up.
-    fn lose_all(&mut self) {
-        let under_way: Vec<RequestKey> = self.requests.keys().collect();
-        for key in under_way {
-            let has_counted = self.requests[key].has_begun(self.now);
-            let attempt = self.drop_request(key);
-            if let Some(attempt) = attempt.filter(|_| !has_counted) {
-                self.count(attempt, End::Left);
+    /// Drops all requests in flight with their entries; their results are released.
+    fn lose_in_flight(&mut self) {
+        let in_flight: Vec<RequestKey> = self.requests.keys().collect();
+        for key in in_flight {
+            let is_counted = self.requests[key].has_first_event(self.now);
+            let attempt = self.cancel_request(key);
+            if let Some(attempt) = attempt.filter(|_| !is_counted) {
+                self.count(attempt, RequestOutcome::Abandoned);
             }
         }
     }
@@ -245,77 +248,80 @@
     }
 
     fn arrive(&mut self, attempt: Attempt) {
-        let begun = self.asked_at(attempt);
-        if self.policy.forecast && !self.can_be_in_time(attempt, begun) {
+        let requested_at = self.requested_at(attempt);
+        if self.policy.forecast && !self.meets_target(attempt, requested_at) {
             self.refuse(attempt);
             return;
         }
         let kind = self.kind(attempt);
-        let patience = (PATIENCE_TARGETS * kind.target_ms).max(LEAST_PATIENCE_MS);
-        let leaves = begun + patience.min(kind.deadline_ms);
+        let patience = (PATIENCE_TARGETS * kind.target_ms).max(MIN_PATIENCE_MS);
+        let times_out_at = requested_at + patience.min(kind.deadline_ms);
         let key = self.requests.insert(Request {
             attempt,
-            begun,
+            requested_at,
             graph: graph_of(kind, &self.drawn(attempt).pieces),
-            held: HashMap::new(),
+            retained: HashMap::new(),
             waiting: HashMap::new(),
             run: None,
         });
-        self.schedule(leaves, Event::CallerLeaves(key));
-        self.go_on(key);
+        self.schedule(times_out_at, Event::CallerTimeout(key));
+        self.advance(key);
     }
 
-    /// When the caller asked: a first attempt may have waited for an entry.
-    fn asked_at(&self, attempt: Attempt) -> u64 {
-        match attempt.is_second {
+    /// When the caller sent the attempt; a first attempt may have waited for an entry.
+    fn requested_at(&self, attempt: Attempt) -> u64 {
+        match attempt.is_retry {
             true => self.now,
             false => self.drawn(attempt).at_ms,
         }
     }
 
-    /// A refused caller comes back once.
+    /// Refuses an attempt; the caller retries once.
     fn refuse(&mut self, attempt: Attempt) {
-        if attempt.is_second {
-            self.count(attempt, End::Refused);
+        if attempt.is_retry {
+            self.count(attempt, RequestOutcome::Refused);
             return;
         }
-        let second = Attempt {
-            is_second: true,
+        let retry = Attempt {
+            is_retry: true,
             ..attempt
         };
-        self.schedule(self.now + BACK_AFTER_MS, Event::Arrives(second));
+        self.schedule(self.now + RETRY_DELAY_MS, Event::Arrival(retry));
     }
 
-    /// A caller without a first event leaves.
-    fn caller_leaves(&mut self, key: RequestKey) {
+    /// Abandons a request that has had no event when its caller times out.
+    fn time_out(&mut self, key: RequestKey) {
         let request = self.requests.get(key);
-        if request.is_none_or(|request| request.has_begun(self.now)) {
+        if request.is_none_or(|request| request.has_first_event(self.now)) {
             return;
         }
-        if let Some(attempt) = self.drop_request(key) {
-            self.count(attempt, End::Left);
+        if let Some(attempt) = self.cancel_request(key) {
+            self.count(attempt, RequestOutcome::Abandoned);
         }
         self.start_calls();
     }
 
-    /// Ends a request that got no answer, and gives up all that it has.
-    fn drop_request(&mut self, key: RequestKey) -> Option<Attempt> {
+    /// Cancels a request: removes its pieces, releases its results and ends its run.
+    fn cancel_request(&mut self, key: RequestKey) -> Option<Attempt> {
         let request = self.requests.remove(key)?;
         for Waiting { pool, queue, piece } in request.waiting.into_values() {
-            self.pools[pool].drop_piece(queue, piece);
+            self.pools[pool].cancel_piece(queue, piece);
         }
-        request.held.values().for_each(|held| self.free(held));
+        request
+            .retained
+            .values()
+            .for_each(|result| self.release(result));
         if let Some(run) = request.run {
-            self.engines.ended(run, false, self.now);
+            self.engines.end_run(run, false, self.now);
         }
         Some(request.attempt)
     }
 
-    /// Refuses requests whose pieces waited for too long.
+    /// Refuses requests whose pieces have expired.
     fn tick(&mut self) {
         for pool in 0..self.pools.len() {
             for job in self.pools[pool].tick(self.now) {
-                if let Some(attempt) = self.drop_request(job.request) {
+                if let Some(attempt) = self.cancel_request(job.request) {
                     self.refuse(attempt);
                 }
             }
@@ -326,28 +332,27 @@
         }
     }
 
-    /// Counts how a caller's request ended; one that was refused at first earns
-    /// half.
-    fn count(&mut self, attempt: Attempt, end: End) {
+    /// Counts the outcome of a caller's request; after a refusal it earns half of the credit.
+    fn count(&mut self, attempt: Attempt, outcome: RequestOutcome) {
         let model = self.kind(attempt);
-        let whole = match end {
-            End::InTime => model.worth,
-            End::Late => model.late_worth,
-            End::Refused | End::Left => 0.0,
+        let credit = match outcome {
+            RequestOutcome::InTime => model.worth,
+            RequestOutcome::Late => model.late_worth,
+            RequestOutcome::Refused | RequestOutcome::Abandoned => 0.0,
         };
         let kind = &mut self.report.kinds[self.drawn[attempt.drawn].kind];
         kind.asked += 1;
         kind.owed += model.worth;
-        kind.credit += if attempt.is_second {
-            whole / 2.0
+        kind.credit += if attempt.is_retry {
+            credit / 2.0
         } else {
-            whole
+            credit
         };
-        match end {
-            End::InTime => kind.in_time += 1,
-            End::Late => kind.late += 1,
-            End::Refused => kind.refused += 1,
-            End::Left => kind.left += 1,
+        match outcome {
+            RequestOutcome::InTime => kind.in_time += 1,
+            RequestOutcome::Late => kind.late += 1,
+            RequestOutcome::Refused => kind.refused += 1,
+            RequestOutcome::Abandoned => kind.left += 1,
         }
     }
 }
--- a/crates/bench/src/day/world/stages.rs
+++ b/crates/bench/src/day/world/stages.rs
@@ -1,82 +1,82 @@
-//! A request's way through its stages: its pieces wait, are made in calls, and
-//! their results are held until nothing needs them.
+//! The stages of a request: queues its pieces, completes them in calls, and retains their
+//! results as long as they are needed.
 
 use hollowsail_stages::{GroupKey, Halls, PieceAt, PieceOrder};
 
 use super::super::model::KindModel;
-use super::super::policy::Kept;
-use super::super::pool::{CallBegun, MadePiece};
-use super::{Event, Held, Job, Request, RequestKey, Waiting, World, ENGINE_MS};
+use super::super::policy::ReservedTime;
+use super::super::pool::{CallStart, CompletedPiece};
+use super::{Event, Job, Request, RequestKey, RetainedResult, Waiting, World, ENGINE_MS};
 
-/// Bytes of inputs that are worth heeding: the daemon's figure.
-const LARGE_BYTES: u64 = 100_000;
-/// Numbers of groups that each request has; no kind has more stages.
-const GROUPS_EACH: usize = 64;
+/// Size from which the inputs of a piece count as large, in bytes; same as the daemon's value.
+const LARGE_INPUT_BYTES: u64 = 100_000;
+/// Group numbers reserved per request; kinds must not have more stages.
+const GROUPS_PER_REQUEST: usize = 64;
 
 impl World<'_> {
-    /// Hands pieces that may start to their queues, or the request to an engine
-    /// when all are made.
-    pub(super) fn go_on(&mut self, key: RequestKey) {
+    /// Queues the pieces that are ready, or sends the request to an engine once all stages are
+    /// complete.
+    pub(super) fn advance(&mut self, key: RequestKey) {
         let request = &mut self.requests[key];
         if request.graph.is_done() {
             self.send_to_engine(key);
             return;
         }
         let ready = request.graph.start_ready();
-        for at in ready {
-            self.push_piece(key, at);
+        for index in ready {
+            self.enqueue_piece(key, index);
         }
         self.start_calls();
     }
 
-    fn push_piece(&mut self, key: RequestKey, at: PieceAt) {
+    fn enqueue_piece(&mut self, key: RequestKey, index: PieceAt) {
         let request = &self.requests[key];
-        let stage = &self.kind(request.attempt).stages[at.stage];
+        let stage = &self.kind(request.attempt).stages[index.stage];
         let job = Job {
             request: key,
-            at,
+            index,
             work: stage.work,
         };
-        let order = self.order(request, at);
+        let order = self.piece_order(request, index);
         let entry = self.drawn(request.attempt).entry;
         let pool = stage.pool;
         let queue = self.pools[pool].queue_of(entry);
         let piece = self.pools[pool].push(queue, order, job, self.now);
         let waiting = Waiting { pool, queue, piece };
-        self.requests[key].waiting.insert(at, waiting);
+        self.requests[key].waiting.insert(index, waiting);
     }
 
-    /// What decides when a piece's turn comes.
-    fn order(&self, request: &Request, at: PieceAt) -> PieceOrder {
+    /// Attributes that determine a piece's position in its queue.
+    fn piece_order(&self, request: &Request, index: PieceAt) -> PieceOrder {
         let kind = self.kind(request.attempt);
-        let stage = &kind.stages[at.stage];
-        let held = request.held.iter();
-        let inputs = held.filter(|(held_at, _)| stage.after.contains(&held_at.stage));
+        let stage = &kind.stages[index.stage];
+        let retained = request.retained.iter();
+        let inputs = retained.filter(|(input, _)| stage.after.contains(&input.stage));
         let input_bytes: u64 = inputs.map(|(_, result)| result.bytes).sum();
-        let later = |later| self.kept_ms(kind, later);
-        let kept_ms = request.graph.ms_after(at.stage, &later);
+        let later = |stage| self.reserved_ms(kind, stage);
+        let reserved_ms = request.graph.ms_after(index.stage, &later);
         PieceOrder {
             priority: kind.priority,
-            due: (request.begun + kind.target_ms).saturating_sub(ENGINE_MS + kept_ms),
-            expires: request.begun + kind.deadline_ms,
+            due: (request.requested_at + kind.target_ms).saturating_sub(ENGINE_MS + reserved_ms),
+            expires: request.requested_at + kind.deadline_ms,
             result_bytes: stage.result_bytes,
-            group: GroupKey((request.attempt.drawn * GROUPS_EACH + at.stage) as u64),
-            holds_inputs: self.policy.holders_first && input_bytes >= LARGE_BYTES,
+            group: GroupKey((request.attempt.drawn * GROUPS_PER_REQUEST + index.stage) as u64),
+            holds_inputs: self.policy.holders_first && input_bytes >= LARGE_INPUT_BYTES,
             hall: None,
             halls: Halls::ALL,
         }
     }
 
-    /// Time that is kept for a later stage.
-    fn kept_ms(&self, kind: &KindModel, stage: usize) -> u64 {
+    /// Time reserved for a later stage, in milliseconds.
+    fn reserved_ms(&self, kind: &KindModel, stage: usize) -> u64 {
         let pool = &self.day.pools[kind.stages[stage].pool];
-        match self.policy.kept {
-            Kept::Ms(ms) => ms,
-            Kept::Calls(calls) => (pool.expected_ms(pool.batch) * calls) as u64,
+        match self.policy.reserved {
+            ReservedTime::Ms(ms) => ms,
+            ReservedTime::Calls(calls) => (pool.expected_ms(pool.batch) * calls) as u64,
         }
     }
 
-    /// Makes every call that can be made now.
+    /// Starts every call that can start now.
     pub(super) fn start_calls(&mut self) {
         for pool in 0..self.pools.len() {
             let begun = self.pools[pool].start_calls(self.now);
@@ -86,57 +86,57 @@
         }
     }
 
-    fn schedule_end(&mut self, pool: usize, call: CallBegun) {
+    fn schedule_end(&mut self, pool: usize, call: CallStart) {
         let worker = call.worker;
-        self.schedule(call.ends_at, Event::CallEnds { pool, worker });
+        self.schedule(call.ends_at, Event::CallEnd { pool, worker });
     }
 
-    /// A call ends: requests whose pieces it made go on.
+    /// Ends a call and advances the requests whose pieces it completed.
     pub(super) fn end_call(&mut self, pool: usize, worker: usize) {
-        let (made, begun) = self.pools[pool].end_call(worker, self.now);
+        let (completed, next) = self.pools[pool].end_call(worker, self.now);
         self.report.calls += 1;
-        self.report.pieces += made.len() as u32;
-        if let Some(call) = begun {
+        self.report.pieces += completed.len() as u32;
+        if let Some(call) = next {
             self.schedule_end(pool, call);
         }
         let mut changed: Vec<RequestKey> = Vec::new();
-        for piece in made {
+        for piece in completed {
             let key = piece.job.request;
-            self.take_made(pool, piece);
+            self.store_result(pool, piece);
             if !changed.contains(&key) {
                 changed.push(key);
             }
         }
-        changed.into_iter().for_each(|key| self.go_on(key));
+        changed.into_iter().for_each(|key| self.advance(key));
         self.start_calls();
     }
 
-    /// A result is there; what nothing needs any more is given up.
-    fn take_made(&mut self, pool: usize, made: MadePiece<Job>) {
+    /// Retains the result of a piece and releases results that are no longer needed.
+    fn store_result(&mut self, pool: usize, piece: CompletedPiece<Job>) {
         self.handles += 1;
         let handle = self.handles.to_string();
-        let request = &mut self.requests[made.job.request];
-        request.waiting.remove(&made.job.at);
-        request.graph.made(made.job.at, handle.clone());
-        let held = Held {
+        let request = &mut self.requests[piece.job.request];
+        request.waiting.remove(&piece.job.index);
+        request.graph.made(piece.job.index, handle.clone());
+        let result = RetainedResult {
             pool,
-            queue: made.queue,
-            worker: made.worker,
-            bytes: made.bytes,
+            queue: piece.queue,
+            worker: piece.worker,
+            bytes: piece.bytes,
             handle,
         };
-        request.held.insert(made.job.at, held);
-        let spent = request.graph.take_spent();
-        let given_up: Vec<Held> = request
-            .held
-            .extract_if(|_, held| spent.contains(&held.handle))
-            .map(|(_, held)| held)
+        request.retained.insert(piece.job.index, result);
+        let consumed = request.graph.take_spent();
+        let released: Vec<RetainedResult> = request
+            .retained
+            .extract_if(|_, result| consumed.contains(&result.handle))
+            .map(|(_, result)| result)
             .collect();
-        given_up.iter().for_each(|held| self.free(held));
+        released.iter().for_each(|result| self.release(result));
     }
 
-    /// Gives a result up at its worker.
-    pub(super) fn free(&mut self, held: &Held) {
-        self.pools[held.pool].free(held.queue, held.worker, held.bytes);
+    /// Releases a result at its worker.
+    pub(super) fn release(&mut self, result: &RetainedResult) {
+        self.pools[result.pool].release_result(result.queue, result.worker, result.bytes);
     }
 }
--- a/crates/bench/src/soak/callers.rs
+++ b/crates/bench/src/soak/callers.rs
@@ -1,4 +1,5 @@
-//! Callers that keep their connections, come back when told to, and sometimes leave.
+//! Callers of a soak run: each keeps a connection open, retries as the protocol allows, and
+//! cancels some of its requests.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -14,18 +15,18 @@
 use super::processes::Fleet;
 use super::SoakOptions;
 
-/// Mean pause between two requests of a caller.
+/// Mean pause between requests of a caller, and the default retry delay.
 const PAUSE: Duration = Duration::from_millis(200);
-/// Part of the requests whose callers leave early, and after which time at the most.
-const LEAVES_SHARE: f64 = 0.04;
-const LEAVES_WITHIN_MS: u64 = 120;
-/// How long a caller waits for an answer at the most beyond its deadline.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Share of requests that callers cancel, and the upper limit of the time until they do.
+const CANCEL_SHARE: f64 = 0.04;
+const CANCEL_WITHIN_MS: u64 = 120;
+/// How long a caller waits beyond the route's timeout.
+const TIMEOUT_GRACE: Duration = Duration::from_secs(2);
 
-/// How often callers use each route of the site, of ten times.
-const ROUTE_USES: [usize; 3] = [4, 2, 4];
+/// Relative frequency of each route of the site.
+const ROUTE_WEIGHTS: [usize; 3] = [4, 2, 4];
 
-/// One attempt of a caller.
+/// One attempt of a caller and its outcome.
 #[derive(Debug, Clone)]
 pub struct Attempt {
     pub id: String,
@@ -33,11 +34,11 @@
     pub entry: usize,
     pub sent: Instant,
     pub ended: Instant,
-    /// `None` when the caller left.
+    /// `None` if the caller cancelled it.
     pub outcome: Option<Outcome>,
 }
 
-/// All callers of a run.
+/// The callers of a run.
 pub struct Load {
     shared: Rc<Shared>,
     callers: Vec<JoinHandle<()>>,
@@ -49,7 +50,6 @@
 }
 
 impl Load {
-    /// Starts the callers.
     pub fn start(options: &SoakOptions, plan: &SoakPlan, fleet: &Rc<Fleet>) -> Self {
         let routes = plan.site.routes.iter().cloned().map(Rc::new);
         let routes: Rc<[Rc<RouteModel>]> = routes.collect();
@@ -75,12 +75,12 @@
         }
     }
 
-    /// Lets what is under way end; all attempts.
+    /// Waits for requests in flight and returns all attempts.
     pub async fn stop(self) -> Vec<Attempt> {
         self.shared.is_over.set(true);
         for caller in self.callers {
             if let Err(err) = caller.await {
-                log::error!("a caller ended early: {err}");
+                log::error!("caller task failed: {err}");
             }
         }
         self.shared.attempts.take()
@@ -101,22 +101,22 @@
     async fn run(mut self) {
         while !self.shared.is_over.get() {
             let route = self.draw_route();
-            self.ask(&route).await;
+            self.send_with_retry(&route).await;
             let pause = PAUSE.mul_f64(self.rng.random_range(0.0..2.0));
             tokio::time::sleep(pause).await;
         }
     }
 
     fn draw_route(&mut self) -> Rc<RouteModel> {
-        let routes = self.routes.iter().zip(ROUTE_USES);
+        let routes = self.routes.iter().zip(ROUTE_WEIGHTS);
         let uses = routes.flat_map(|(route, uses)| std::iter::repeat_n(route, uses));
         let uses: Vec<&Rc<RouteModel>> = uses.collect();
         uses[self.rng.random_range(0..uses.len())].clone()
     }
 
-    /// Asks, and once more where that is allowed: after a refusal by the time that it was
-    /// told, and after any failure where the request may run again.
-    async fn ask(&mut self, route: &Rc<RouteModel>) {
+    /// Sends a request and retries it once if allowed: after a refusal with the requested
+    /// delay, and after an unknown outcome on a route that is safe to repeat.
+    async fn send_with_retry(&mut self, route: &Rc<RouteModel>) {
         let pause = match self.attempt(route).await {
             Some(Outcome::NotRun { after }) => after.unwrap_or(PAUSE),
             Some(Outcome::Unknown { .. }) if route.kind == RouteKind::Safe => PAUSE,
@@ -130,21 +130,21 @@
     }
 
     async fn attempt(&mut self, route: &Rc<RouteModel>) -> Option<Outcome> {
-        let leaves = self.rng.random_bool(LEAVES_SHARE);
-        let longest = match leaves {
-            true => Duration::from_millis(self.rng.random_range(1..LEAVES_WITHIN_MS)),
-            false => Duration::from_millis(route.timeout_ms) + PATIENCE,
+        let is_cancelled = self.rng.random_bool(CANCEL_SHARE);
+        let timeout = match is_cancelled {
+            true => Duration::from_millis(self.rng.random_range(1..CANCEL_WITHIN_MS)),
+            false => Duration::from_millis(route.timeout_ms) + TIMEOUT_GRACE,
         };
-        self.connect().await;
+        self.ensure_connected().await;
         let (entry, mut connection) = self.connection.take()?;
         self.requests += 1;
         let id = format!("{:08x}{:08x}", self.number + 1, self.requests);
         let request = CallerRequest::on(route, id.clone());
         let sent = Instant::now();
-        let outcome = tokio::time::timeout(longest, connection.call(&request)).await;
+        let outcome = tokio::time::timeout(timeout, connection.call(&request)).await;
         let outcome = match outcome {
             Ok(outcome) => Some(outcome),
-            Err(_) if leaves => None,
+            Err(_) if is_cancelled => None,
             Err(_) => Some(Outcome::Unknown {
                 why: "no answer".to_string(),
             }),
@@ -163,16 +163,16 @@
         outcome
     }
 
-    /// Sees to a connection that takes requests: the one that is there, or a new one.
-    async fn connect(&mut self) {
+    /// Keeps the open connection, or opens one to a random ready gateway.
+    async fn ensure_connected(&mut self) {
         let is_open = |(_, connection): &(usize, Connection)| connection.is_open();
         if self.connection.as_ref().is_some_and(is_open) {
             return;
         }
         self.connection = None;
         let ready = self.fleet.ready();
-        let (entry, at) = ready[self.rng.random_range(0..ready.len())];
-        match Connection::open(at).await {
+        let (entry, address) = ready[self.rng.random_range(0..ready.len())];
+        match Connection::open(address).await {
             Ok(connection) => self.connection = Some((entry, connection)),
             Err(err) => {
                 log::debug!("caller {}: {err}", self.number);
@@ -182,20 +182,20 @@
     }
 }
 
-/// Asks every gateway on the route that the operators added; those that don't know it.
-pub async fn ask_added_route(plan: &SoakPlan, fleet: &Fleet) -> Vec<String> {
-    let mut ignorant = Vec::new();
-    for (entry, at) in fleet.ready() {
+/// Sends a request on the added route to every ready gateway; returns a line per failure.
+pub async fn check_added_route(plan: &SoakPlan, fleet: &Fleet) -> Vec<String> {
+    let mut failures = Vec::new();
+    for (entry, address) in fleet.ready() {
         let request = CallerRequest::on(&plan.added_route(), format!("added-{entry}"));
-        let outcome = match Connection::open(at).await {
+        let outcome = match Connection::open(address).await {
             Ok(mut connection) => connection.call(&request).await,
             Err(err) => Outcome::Unknown {
                 why: err.to_string(),
             },
         };
         if outcome != Outcome::Whole {
-            ignorant.push(format!("gateway {entry} on the added route: {outcome:?}"));
+            failures.push(format!("gateway {entry} on the added route: {outcome:?}"));
         }
     }
-    ignorant
+    failures
 }
--- a/crates/bench/src/soak/checks.rs
+++ b/crates/bench/src/soak/checks.rs
@@ -1,4 +1,7 @@
-//! Holds what callers got against what targets ran and what was done to the gateways.
+//! Checks of a soak run: compares callers' outcomes with the targets' executions.
+//!
+//! A late response fails the run unless a fault of its gateway explains it; a connection that
+//! a planned stop breaks always does.
 
 use std::time::{Duration, Instant};
 
@@ -6,34 +9,33 @@
 
 use super::callers::Attempt;
 use super::plan::EntryFault;
-use super::processes::{Disturbance, Seen};
+use super::processes::{Disturbance, Observations};
 use super::report::SoakReport;
 use super::SoakOptions;
 
-/// How much later than its route's end an answer may come.
-const END_SLACK: Duration = Duration::from_millis(500);
-/// How long a disturbance of a gateway still excuses it.
-const AFTERMATH: Duration = Duration::from_secs(1);
-/// Part of the attempts that are answered whole at least: less, and the checks see little.
-const LEAST_WHOLE: f64 = 0.5;
+/// How far a response may exceed its route's timeout.
+const TIMEOUT_SLACK: Duration = Duration::from_millis(500);
+/// How long after its end a fault still excuses its gateway.
+const RECOVERY_GRACE: Duration = Duration::from_secs(1);
+/// Minimum share of whole answers; below it too few attempts exercise the checks.
+const MIN_WHOLE_SHARE: f64 = 0.5;
 
-/// Judges a run.
-pub fn judge(
+pub fn evaluate(
     options: &SoakOptions,
-    seen: &Seen,
+    observations: &Observations,
     attempts: &[Attempt],
-    added: Vec<String>,
+    added_route_failures: Vec<String>,
 ) -> SoakReport {
-    let mut failures: Vec<String> = seen.broken.clone();
-    failures.extend(seen.ends.iter().cloned());
-    failures.extend(added);
+    let mut failures: Vec<String> = observations.broken.clone();
+    failures.extend(observations.exit_failures.iter().cloned());
+    failures.extend(added_route_failures);
     failures.extend(
         attempts
             .iter()
-            .filter_map(|attempt| fault_of(attempt, seen)),
+            .filter_map(|attempt| find_violation(attempt, observations)),
     );
     let whole = count(attempts, |outcome| *outcome == Outcome::Whole);
-    if (whole as f64) < attempts.len() as f64 * LEAST_WHOLE {
+    if (whole as f64) < attempts.len() as f64 * MIN_WHOLE_SHARE {
         failures.push(format!("{whole} of {} attempts are whole", attempts.len()));
     }
     SoakReport {
@@ -47,7 +49,7 @@
         unknown: count(attempts, |outcome| {
             matches!(outcome, Outcome::Unknown { .. })
         }),
-        ran: seen.ran.len(),
+        ran: observations.ran.len(),
         failures,
     }
 }
@@ -59,20 +61,20 @@
     outcomes.filter(|outcome| is_counted(outcome)).count()
 }
 
-/// What is wrong with an attempt, if anything.
-fn fault_of(attempt: &Attempt, seen: &Seen) -> Option<String> {
+/// Describes the promise that an attempt broke, if any.
+fn find_violation(attempt: &Attempt, observations: &Observations) -> Option<String> {
     let id = &attempt.id;
     let entry = attempt.entry;
     let took_ms = (attempt.ended - attempt.sent).as_millis();
     match attempt.outcome.as_ref()? {
         Outcome::Wrong { why } => Some(format!("request {id} at gateway {entry}: {why}")),
-        Outcome::NotRun { .. } if seen.ran.contains(id) => {
+        Outcome::NotRun { .. } if observations.ran.contains(id) => {
             Some(format!("request {id} was said not to have run, and ran"))
         }
-        Outcome::Unknown { why } if is_cut_by_stop(attempt, seen) => Some(format!(
+        Outcome::Unknown { why } if is_cut_by_stop(attempt, observations) => Some(format!(
             "request {id} was cut by a planned stop of gateway {entry}: {why}"
         )),
-        _ if is_late(attempt) && !is_excused(attempt, seen, |_| true) => Some(format!(
+        _ if is_late(attempt) && !is_excused(attempt, observations, |_| true) => Some(format!(
             "request {id} at gateway {entry} ended after {took_ms} ms"
         )),
         _ => None,
@@ -80,13 +82,13 @@
 }
 
 fn is_late(attempt: &Attempt) -> bool {
-    let end = Duration::from_millis(attempt.route.timeout_ms) + END_SLACK;
+    let end = Duration::from_millis(attempt.route.timeout_ms) + TIMEOUT_SLACK;
     attempt.ended - attempt.sent > end
 }
 
-/// True when a target worked on a request and its connection ended while its gateway was
-/// being stopped as planned.
-fn is_cut_by_stop(attempt: &Attempt, seen: &Seen) -> bool {
+/// True if a target executed the request and its connection broke during a planned stop of
+/// its gateway, with no other fault to explain it.
+fn is_cut_by_stop(attempt: &Attempt, observations: &Observations) -> bool {
     let is_stop = |disturbance: &Disturbance| disturbance.fault == EntryFault::Stop;
     let is_other = |disturbance: &Disturbance| disturbance.fault != EntryFault::Stop;
     let is_connection = !matches!(
@@ -94,18 +96,22 @@
         Some(Outcome::Unknown { why }) if why.starts_with("status")
     );
     is_connection
-        && seen.ran.contains(&attempt.id)
-        && is_excused(attempt, seen, is_stop)
-        && !is_excused(attempt, seen, is_other)
+        && observations.ran.contains(&attempt.id)
+        && is_excused(attempt, observations, is_stop)
+        && !is_excused(attempt, observations, is_other)
 }
 
-/// True when such a disturbance of the attempt's gateway fell into its time.
-fn is_excused(attempt: &Attempt, seen: &Seen, is_such: impl Fn(&Disturbance) -> bool) -> bool {
+/// True if a matching fault of the attempt's gateway overlapped the attempt.
+fn is_excused(
+    attempt: &Attempt,
+    observations: &Observations,
+    is_match: impl Fn(&Disturbance) -> bool,
+) -> bool {
     let overlaps = |from: Instant, until: Instant| attempt.sent <= until && from <= attempt.ended;
-    let mut disturbances = seen.disturbances.iter();
-    disturbances.any(|known| {
-        known.entry == attempt.entry
-            && is_such(known)
-            && overlaps(known.from, known.until + AFTERMATH)
+    let mut disturbances = observations.disturbances.iter();
+    disturbances.any(|disturbance| {
+        disturbance.entry == attempt.entry
+            && is_match(disturbance)
+            && overlaps(disturbance.from, disturbance.until + RECOVERY_GRACE)
     })
 }
--- a/crates/bench/src/soak/mod.rs
+++ b/crates/bench/src/soak/mod.rs
@@ -1,8 +1,8 @@
-//! A soak: real gateways before the emulated platform, under a seeded plan of faults.
+//! Soak test: real gateway processes in front of the emulated platform, under seeded faults.
 //!
-//! [`plan`] draws the site with its troubles, and what is done to the gateways;
-//! [`processes`] starts, signals and watches them; [`callers`] keeps asking; [`checks`]
-//! holds what callers got against what targets ran. A failed run leaves its folder.
+//! [`plan`] draws the site, its troubles and the gateway faults; [`processes`] starts, signals
+//! and monitors the processes; [`callers`] generates load; [`checks`] compares callers' results
+//! with the targets' executions. Settings and logs stay in the run's folder.
 
 mod callers;
 mod checks;
@@ -26,10 +26,10 @@
 use plan::SoakPlan;
 use processes::Fleet;
 
-/// Time after the last fault in which what is under way ends.
+/// Time after the run in which requests in flight can complete.
 const SETTLE: Duration = Duration::from_secs(3);
 
-/// What a run is given.
+/// Options of a soak run.
 #[derive(Debug, Clone)]
 pub struct SoakOptions {
     pub seed: u64,
@@ -40,7 +40,7 @@
     pub folder: Option<PathBuf>,
 }
 
-/// Why a run couldn't be made.
+/// Why a soak run could not start.
 #[derive(Debug, Snafu)]
 pub enum SoakError {
     #[snafu(display("{source}"))]
@@ -50,33 +50,38 @@
         path: PathBuf,
         source: std::io::Error,
     },
-    #[snafu(display("{program} can't be started: {source}; build it, or name it by --program", program = program.display()))]
+    #[snafu(display("cannot start {program}: {source}; build it or set --program", program = program.display()))]
     Start {
         program: PathBuf,
         source: std::io::Error,
     },
-    #[snafu(display("{what} did not come within {within} s; see {folder}", folder = folder.display()))]
-    NotUp {
-        what: String,
-        within: u64,
+    #[snafu(display("{process} was not ready within {timeout_s} s; see {folder}", folder = folder.display()))]
+    NotReady {
+        process: String,
+        timeout_s: u64,
         folder: PathBuf,
     },
 }
 
-/// Reads a site file; every fault is named.
+/// Reads a site file; the error lists every fault in it.
 pub fn read_site(path: &Path) -> Result<Site, Faults> {
     Site::parse(&read_source(path)?)
 }
 
-/// Makes one run.
+/// Runs the soak once.
 pub async fn run(options: &SoakOptions) -> Result<SoakReport, SoakError> {
     let plan = SoakPlan::draw(options.seed, options.seconds, options.entries);
     let fleet = Rc::new(Fleet::start(options, &plan).await?);
     let load = Load::start(options, &plan, &fleet);
-    fleet.play(&plan).await;
+    fleet.run_faults(&plan).await;
     tokio::time::sleep(SETTLE).await;
     let attempts = load.stop().await;
-    let added = callers::ask_added_route(&plan, &fleet).await;
-    let seen = fleet.end().await;
-    Ok(checks::judge(options, &seen, &attempts, added))
+    let added_route_failures = callers::check_added_route(&plan, &fleet).await;
+    let observations = fleet.shut_down().await;
+    Ok(checks::evaluate(
+        options,
+        &observations,
+        &attempts,
+        added_route_failures,
+    ))
 }
--- a/crates/bench/src/soak/plan.rs
+++ b/crates/bench/src/soak/plan.rs
@@ -1,4 +1,5 @@
-//! Draws what goes wrong in a run.
+//! Draws the plan of a soak run from its seed: the site with its troubles, and the gateway
+//! faults. The same seed and options always give the same plan.
 
 use std::time::Duration;
 
@@ -8,46 +9,47 @@
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 
-/// When the first fault comes, and how long before the end the last one begins.
+/// Earliest start of a fault, and the latest one counted from the end of the run, in seconds.
 const FIRST_FAULT_S: u64 = 4;
 const LAST_FAULT_BEFORE_END_S: u64 = 8;
-/// How long a target that leaves still takes requests, in milliseconds.
+/// How long a draining target accepts requests, in milliseconds.
 const DRAIN_MS: u64 = 2_000;
-/// How long targets name a limit, in milliseconds: longer than until it has to be kept to.
+/// How long targets report a limit, in milliseconds; longer than gateways may take to comply.
 const LIMITED_MS: u64 = 9_000;
-/// Name of the trouble that adds a route.
-const ADDED: &str = "added";
-/// Position of the route that it adds a second time.
-const ADDED_ROUTE: usize = 0;
+/// Trouble that adds a route.
+const ADDED_TROUBLE: &str = "added";
+/// Index of the route that is added under a second path.
+const ADDED_ROUTE_INDEX: usize = 0;
 
-/// What is done to a gateway.
+/// A fault injected into a gateway process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EntryFault {
-    /// Killed, and started again after a while.
+    /// SIGKILL, then a restart after a delay.
     Kill,
-    /// Told to stop, and started again once it has ended.
+    /// SIGTERM, then a restart after a delay once it has exited.
     Stop,
-    /// Stopped for a while without knowing.
+    /// SIGSTOP, then SIGCONT.
     Pause,
 }
 
-/// A fault and its time.
+/// A scheduled gateway fault.
 #[derive(Debug, Clone, Copy)]
 pub struct PlannedFault {
     pub fault: EntryFault,
     pub entry: usize,
+    /// Offset from the start of the run.
     pub at: Duration,
-    pub lasts: Duration,
+    pub duration: Duration,
 }
 
-/// What a run does.
+/// The plan of a soak run.
 #[derive(Debug, Clone)]
 pub struct SoakPlan {
-    /// Text of the site file, and what it says.
+    /// Text of the site file; `site` is its parsed form.
     pub site_text: String,
     pub site: Site,
     pub faults: Vec<PlannedFault>,
-    pub length: Duration,
+    pub duration: Duration,
 }
 
 const SERVICES: &str = "\
@@ -95,7 +97,7 @@
 ";
 
 impl SoakPlan {
-    /// Draws a run: every kind of fault once, in any order, some of them over each other.
+    /// Draws a plan with each kind of fault once, in random order; faults may overlap.
     pub fn draw(seed: u64, seconds: u64, entries: usize) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let latest = seconds
@@ -109,10 +111,11 @@
                 "[trouble.silent]\nwhat = store-silent\nat_ms = {}\nfor_ms = 3000\n",
                 at_ms()
             ),
-            // Each has targets of its own: one that has ended can't do anything else.
-            trouble("gone", "targets-gone", "plain", 0, at_ms(), 1_000),
-            trouble("ended", "targets-gone", "encoders", 0, at_ms(), 1_000),
-            trouble(
+            // Troubles of different kinds use disjoint targets: one that has exited can't drain
+            // or report a limit.
+            trouble_section("gone", "targets-gone", "plain", 0, at_ms(), 1_000),
+            trouble_section("ended", "targets-gone", "encoders", 0, at_ms(), 1_000),
+            trouble_section(
                 "leaving",
                 "targets-leave",
                 "engines",
@@ -120,7 +123,7 @@
                 at_ms(),
                 DRAIN_MS + 500,
             ),
-            trouble(
+            trouble_section(
                 "limited",
                 "targets-limited",
                 "plain",
@@ -128,7 +131,7 @@
                 limited_ms,
                 LIMITED_MS,
             ),
-            trouble(
+            trouble_section(
                 "scarce",
                 "targets-limited",
                 "engines",
@@ -136,7 +139,7 @@
                 limited_ms,
                 LIMITED_MS,
             ),
-            trouble(
+            trouble_section(
                 "short",
                 "targets-limited",
                 "encoders",
@@ -144,7 +147,7 @@
                 limited_ms,
                 LIMITED_MS,
             ),
-            format!("[trouble.{ADDED}]\nwhat = route-added\nroute = {ADDED_ROUTE}\nat_ms = {added_ms}\n"),
+            format!("[trouble.{ADDED_TROUBLE}]\nwhat = route-added\nroute = {ADDED_ROUTE_INDEX}\nat_ms = {added_ms}\n"),
         ];
         let mut kinds = vec![EntryFault::Kill, EntryFault::Stop, EntryFault::Pause];
         kinds.shuffle(&mut rng);
@@ -152,7 +155,7 @@
             fault,
             entry: rng.random_range(0..entries),
             at: Duration::from_millis(rng.random_range(FIRST_FAULT_S * 1_000..latest * 1_000)),
-            lasts: Duration::from_millis(rng.random_range(500..2_500)),
+            duration: Duration::from_millis(rng.random_range(500..2_500)),
         });
         let mut faults: Vec<PlannedFault> = faults.collect();
         faults.sort_by_key(|fault| fault.at);
@@ -162,30 +165,30 @@
             site: parse(&site_text),
             site_text,
             faults,
-            length: Duration::from_secs(seconds),
+            duration: Duration::from_secs(seconds),
         }
     }
 
-    /// What is done to the gateways, a line each.
-    pub fn faults_in_words(&self) -> String {
+    /// Lists the gateway faults, one per line.
+    pub fn describe_faults(&self) -> String {
         let lines = self.faults.iter().map(|planned| {
             let PlannedFault {
                 fault,
                 entry,
                 at,
-                lasts,
+                duration,
             } = planned;
-            let (at, lasts) = (at.as_millis(), lasts.as_millis());
-            format!("{at} ms: {fault:?} gateway {entry} for {lasts} ms\n")
+            let (at, duration) = (at.as_millis(), duration.as_millis());
+            format!("{at} ms: {fault:?} gateway {entry} for {duration} ms\n")
         });
         lines.collect()
     }
 
-    /// The route that the operators add.
+    /// The route that is added during the run.
     pub fn added_route(&self) -> RouteModel {
-        let route = self.site.routes[ADDED_ROUTE].clone();
+        let route = self.site.routes[ADDED_ROUTE_INDEX].clone();
         RouteModel {
-            path: added_path(&route.path, ADDED),
+            path: added_path(&route.path, ADDED_TROUBLE),
             ..route
         }
     }
@@ -196,17 +199,24 @@
         name: "site.ini".into(),
         text: site_text.into(),
     };
-    Site::parse(&source).expect("the site of every plan is right")
+    Site::parse(&source).expect("the site of every plan is valid")
 }
 
-/// A trouble of two targets, from one on.
-fn trouble(name: &str, what: &str, service: &str, first: usize, at_ms: u64, for_ms: u64) -> String {
-    let per_s = match what {
+/// Section of a trouble that affects two targets, beginning at index `first`.
+fn trouble_section(
+    name: &str,
+    kind: &str,
+    service: &str,
+    first: usize,
+    at_ms: u64,
+    for_ms: u64,
+) -> String {
+    let per_s = match kind {
         "targets-limited" => "per_s = 2\n",
         _ => "",
     };
     format!(
-        "[trouble.{name}]\nwhat = {what}\nservice = {service}\nfirst = {first}\ntargets = 2\n{per_s}\
+        "[trouble.{name}]\nwhat = {kind}\nservice = {service}\nfirst = {first}\ntargets = 2\n{per_s}\
          at_ms = {at_ms}\nfor_ms = {for_ms}\n"
     )
 }
--- a/crates/bench/src/soak/processes.rs
+++ b/crates/bench/src/soak/processes.rs
@@ -1,4 +1,7 @@
-//! The platform and the gateways as processes: starting, signalling and watching them.
+//! The platform and gateway processes of a soak run.
+//!
+//! Starts and signals them, polls the gateways' readiness as a load balancer would, and
+//! records exits, restarts and the platform's events.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
@@ -20,62 +23,61 @@
 use super::plan::{EntryFault, PlannedFault, SoakPlan};
 use super::{FolderSnafu, SoakError, SoakOptions, StartSnafu};
 
-/// Longest time for the platform, and for a gateway, until it is up.
-const UP_WITHIN: Duration = Duration::from_secs(20);
-/// Longest time from a signal to the end of a gateway that was paused just then.
-const END_WITHIN: Duration = Duration::from_secs(GRACE_S as u64 + 4);
-/// Between two looks whether a gateway has ended.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
-/// Between two questions of the balancer.
-const ASK_EVERY: Duration = Duration::from_millis(300);
-/// Misses after which a gateway gets no new connections.
-const MOST_MISSES: u32 = 2;
+/// Time limit for the platform or a gateway to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time limit for a gateway to exit after a signal, with a margin for one that is paused.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(GRACE_S as u64 + 4);
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval and timeout of the readiness checks.
+const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(300);
+/// Failed readiness checks in a row after which a gateway gets no new connections.
+const MAX_FAILED_CHECKS: u32 = 2;
 
-/// What was done to a gateway, and when.
+/// A fault that was injected into a gateway, with its time span.
 #[derive(Debug, Clone, Copy)]
 pub struct Disturbance {
     pub entry: usize,
     pub fault: EntryFault,
     pub from: Instant,
-    /// Until it was ready again.
+    /// When the gateway was ready again.
     pub until: Instant,
 }
 
-/// What was seen of the processes.
+/// What a run recorded about its processes.
 #[derive(Debug, Default)]
-pub struct Seen {
-    /// Requests on which a target began to work.
+pub struct Observations {
+    /// IDs of requests that a target began to execute.
     pub ran: HashSet<String>,
-    /// Promises that the platform's own account found broken.
+    /// Broken promises that the platform reported.
     pub broken: Vec<String>,
-    /// Processes that ended by themselves, and how.
-    pub ends: Vec<String>,
+    /// Unexpected exits, and processes that did not exit or start.
+    pub exit_failures: Vec<String>,
     pub disturbances: Vec<Disturbance>,
-    pub begun: Option<Instant>,
+    pub started: Option<Instant>,
 }
 
-/// A gateway and its place.
+/// A gateway process and its addresses and settings.
 struct Gateway {
     place: EntryPlace,
     child: RefCell<Option<Child>>,
-    misses: Cell<u32>,
+    failed_checks: Cell<u32>,
     starts: Cell<u32>,
-    /// Faults under way after which it is started again: its end isn't its own then.
-    replacements: Cell<u32>,
+    /// Restarts in progress; an exit meanwhile is expected.
+    restarts_in_progress: Cell<u32>,
 }
 
-/// All processes of a run.
+/// The processes of a run.
 pub struct Fleet {
     folder: PathBuf,
     program: PathBuf,
     gateways: Vec<Gateway>,
     platform: RefCell<Option<(Child, ChildStdin)>>,
-    seen: Rc<RefCell<Seen>>,
-    begun: Instant,
+    observations: Rc<RefCell<Observations>>,
+    started: Instant,
     is_over: Cell<bool>,
 }
 
-/// A line of the platform's events.
+/// An event that the platform prints as a line of JSON.
 #[derive(Deserialize)]
 struct EventLine {
     event: String,
@@ -92,9 +94,9 @@
         let site = folder.join("site.ini");
         std::fs::write(&site, &plan.site_text).context(FolderSnafu { path: &site })?;
         let faults = folder.join("faults.txt");
-        std::fs::write(&faults, plan.faults_in_words()).context(FolderSnafu { path: &faults })?;
-        let seen = Rc::new(RefCell::new(Seen::default()));
-        let (platform, store) = start_platform(&folder, &site, &seen).await?;
+        std::fs::write(&faults, plan.describe_faults()).context(FolderSnafu { path: &faults })?;
+        let observations = Rc::new(RefCell::new(Observations::default()));
+        let (platform, store) = start_platform(&folder, &site, &observations).await?;
         let Site {
             halls, drain_ms, ..
         } = &plan.site;
@@ -104,138 +106,150 @@
             program: program_for(options),
             folder,
             platform: RefCell::new(Some(platform)),
-            seen,
-            begun: Instant::now(),
+            observations,
+            started: Instant::now(),
             is_over: Cell::new(false),
         };
-        for at in 0..fleet.gateways.len() {
-            fleet.start_gateway(at)?;
+        for index in 0..fleet.gateways.len() {
+            fleet.start_gateway(index)?;
         }
-        for at in 0..fleet.gateways.len() {
-            if !fleet.is_ready_within(at, UP_WITHIN).await {
-                return Err(SoakError::NotUp {
-                    what: fleet.gateways[at].place.host.clone(),
-                    within: UP_WITHIN.as_secs(),
+        for index in 0..fleet.gateways.len() {
+            if !fleet.is_ready_within(index, READY_TIMEOUT).await {
+                return Err(SoakError::NotReady {
+                    process: fleet.gateways[index].place.host.clone(),
+                    timeout_s: READY_TIMEOUT.as_secs(),
                     folder: fleet.folder.clone(),
                 });
             }
         }
-        fleet.seen.borrow_mut().begun = Some(Instant::now());
+        fleet.observations.borrow_mut().started = Some(Instant::now());
         Ok(fleet)
     }
 
-    /// Where gateways take callers' connections now, by the balancer; all of them where it
-    /// knows of none.
+    /// Indexes and caller addresses of the gateways that pass readiness checks; all gateways
+    /// if none does.
     pub fn ready(&self) -> Vec<(usize, SocketAddr)> {
         let all = self.gateways.iter().enumerate();
-        let at: Vec<_> = all
+        let ready: Vec<_> = all
             .clone()
-            .filter(|(_, gateway)| gateway.misses.get() < MOST_MISSES)
-            .map(|(at, gateway)| (at, gateway.place.callers()))
+            .filter(|(_, gateway)| gateway.failed_checks.get() < MAX_FAILED_CHECKS)
+            .map(|(index, gateway)| (index, gateway.place.callers()))
             .collect();
-        match at.is_empty() {
+        match ready.is_empty() {
             true => all
-                .map(|(at, gateway)| (at, gateway.place.callers()))
+                .map(|(index, gateway)| (index, gateway.place.callers()))
                 .collect(),
-            false => at,
+            false => ready,
         }
     }
 
-    /// Asks each gateway whether it is ready, until the run is over.
-    pub async fn balance(self: Rc<Self>) {
+    /// Polls the readiness of each gateway until the run is over.
+    pub async fn poll_readiness(self: Rc<Self>) {
         while !self.is_over.get() {
             for gateway in &self.gateways {
-                let asked = caller::readiness(gateway.place.readiness());
-                let is_ready =
-                    matches!(tokio::time::timeout(ASK_EVERY, asked).await, Ok(Some(200)));
-                gateway.misses.set(match is_ready {
+                let check = caller::readiness(gateway.place.readiness());
+                let is_ready = matches!(
+                    tokio::time::timeout(READINESS_POLL_INTERVAL, check).await,
+                    Ok(Some(200))
+                );
+                gateway.failed_checks.set(match is_ready {
                     true => 0,
-                    false => gateway.misses.get() + 1,
+                    false => gateway.failed_checks.get() + 1,
                 });
             }
-            self.look_for_ends();
-            tokio::time::sleep(ASK_EVERY).await;
+            self.record_unexpected_exits();
+            tokio::time::sleep(READINESS_POLL_INTERVAL).await;
         }
     }
 
-    /// Notes gateways that ended by themselves.
-    fn look_for_ends(&self) {
+    /// Records gateways that exited outside a planned restart.
+    fn record_unexpected_exits(&self) {
         for gateway in &self.gateways {
-            let Some(status) = gateway.has_ended() else {
+            let Some(status) = gateway.try_exit_status() else {
                 continue;
             };
-            if gateway.replacements.get() == 0 {
+            if gateway.restarts_in_progress.get() == 0 {
                 let end = format!("{} ended by itself: {status}", gateway.place.host);
-                self.seen.borrow_mut().ends.push(end);
+                self.observations.borrow_mut().exit_failures.push(end);
             }
         }
     }
 
-    /// Plays the faults of the gateways, each at its time, until the run's length is over.
-    pub async fn play(self: &Rc<Self>, plan: &SoakPlan) {
-        let balancing = actix_rt::spawn(self.clone().balance());
-        let faults = plan.faults.iter().map(|fault| self.clone().disturb(*fault));
+    /// Injects the gateway faults on schedule and returns at the end of the run.
+    pub async fn run_faults(self: &Rc<Self>, plan: &SoakPlan) {
+        let polling = actix_rt::spawn(self.clone().poll_readiness());
+        let faults = plan.faults.iter().map(|fault| self.clone().inject(*fault));
         futures_util::future::join_all(faults).await;
-        tokio::time::sleep(plan.length.saturating_sub(self.begun.elapsed())).await;
+        tokio::time::sleep(plan.duration.saturating_sub(self.started.elapsed())).await;
         self.is_over.set(true);
-        // It ends by itself.
-        let _ended = balancing.await;
+        // Returns because `is_over` is set.
+        let _joined = polling.await;
     }
 
-    async fn disturb(self: Rc<Self>, planned: PlannedFault) {
-        tokio::time::sleep(planned.at.saturating_sub(self.begun.elapsed())).await;
+    async fn inject(self: Rc<Self>, planned: PlannedFault) {
+        tokio::time::sleep(planned.at.saturating_sub(self.started.elapsed())).await;
         let from = Instant::now();
         match planned.fault {
             EntryFault::Pause => {
                 self.signal(planned.entry, Signal::STOP);
-                tokio::time::sleep(planned.lasts).await;
+                tokio::time::sleep(planned.duration).await;
                 self.signal(planned.entry, Signal::CONT);
             }
-            EntryFault::Kill => self.replace(planned, Signal::KILL).await,
-            EntryFault::Stop => self.replace(planned, Signal::TERM).await,
+            EntryFault::Kill => self.restart(planned, Signal::KILL).await,
+            EntryFault::Stop => self.restart(planned, Signal::TERM).await,
         }
-        self.is_ready_within(planned.entry, UP_WITHIN).await;
-        self.seen.borrow_mut().disturbances.push(Disturbance {
-            entry: planned.entry,
-            fault: planned.fault,
-            from,
-            until: Instant::now(),
-        });
+        self.is_ready_within(planned.entry, READY_TIMEOUT).await;
+        self.observations
+            .borrow_mut()
+            .disturbances
+            .push(Disturbance {
+                entry: planned.entry,
+                fault: planned.fault,
+                from,
+                until: Instant::now(),
+            });
     }
 
-    fn signal(&self, at: usize, signal: Signal) {
-        let child = self.gateways[at].child.borrow();
+    fn signal(&self, index: usize, signal: Signal) {
+        let child = self.gateways[index].child.borrow();
         let id = child.as_ref().and_then(Child::id);
         let pid = id.and_then(|id| Pid::from_raw(id.cast_signed()));
         if let Some(Err(err)) = pid.map(|pid| kill_process(pid, signal)) {
-            log::warn!("gateway {at} can't be signalled: {err}");
+            log::warn!("cannot signal gateway {index}: {err}");
         }
     }
 
-    /// Ends a gateway by a signal, and starts it again a while after it has ended. Faults of
-    /// one gateway may overlap: it is started by whoever finds it gone.
-    async fn replace(&self, planned: PlannedFault, signal: Signal) {
+    /// Ends a gateway with a signal and starts it again after the planned delay. If faults of
+    /// one gateway overlap, the first task that finds it exited starts it.
+    async fn restart(&self, planned: PlannedFault, signal: Signal) {
         let gateway = &self.gateways[planned.entry];
-        gateway.replacements.set(gateway.replacements.get() + 1);
+        gateway
+            .restarts_in_progress
+            .set(gateway.restarts_in_progress.get() + 1);
         self.signal(planned.entry, signal);
-        if !gateway.ends_within(END_WITHIN).await {
-            let (host, longest) = (&gateway.place.host, END_WITHIN.as_secs());
-            let end = format!("{host} was still there {longest} s after {signal:?}");
-            self.seen.borrow_mut().ends.push(end);
-            // The process ends with its handle.
+        if !gateway.exits_within(EXIT_TIMEOUT).await {
+            let (host, timeout_s) = (&gateway.place.host, EXIT_TIMEOUT.as_secs());
+            let end = format!("{host} was still there {timeout_s} s after {signal:?}");
+            self.observations.borrow_mut().exit_failures.push(end);
+            // Dropping the handle kills the process.
             drop(gateway.child.take());
         }
-        tokio::time::sleep(planned.lasts).await;
+        tokio::time::sleep(planned.duration).await;
         if gateway.child.borrow().is_none() {
             if let Err(err) = self.start_gateway(planned.entry) {
-                self.seen.borrow_mut().ends.push(err.to_string());
+                self.observations
+                    .borrow_mut()
+                    .exit_failures
+                    .push(err.to_string());
             }
         }
-        gateway.replacements.set(gateway.replacements.get() - 1);
+        gateway
+            .restarts_in_progress
+            .set(gateway.restarts_in_progress.get() - 1);
     }
 
-    fn start_gateway(&self, at: usize) -> Result<(), SoakError> {
-        let gateway = &self.gateways[at];
+    fn start_gateway(&self, index: usize) -> Result<(), SoakError> {
+        let gateway = &self.gateways[index];
         let host = &gateway.place.host;
         let settings = self.folder.join(format!("{host}.yaml"));
         std::fs::write(&settings, gateway.place.settings())
@@ -244,13 +258,13 @@
         gateway.starts.set(start);
         let output = self.folder.join(format!("{host}.{start}.log"));
         let file = File::create(&output).context(FolderSnafu { path: &output })?;
-        let too = file.try_clone().context(FolderSnafu { path: &output })?;
+        let stdout = file.try_clone().context(FolderSnafu { path: &output })?;
         let child = Command::new(&self.program)
             .arg("gateway")
             .env(SETTINGS_VARIABLE, &settings)
             .env("RUST_LOG", "info")
             .stdin(Stdio::null())
-            .stdout(too)
+            .stdout(stdout)
             .stderr(file)
             .kill_on_drop(true)
             .spawn()
@@ -261,11 +275,11 @@
         Ok(())
     }
 
-    async fn is_ready_within(&self, at: usize, longest: Duration) -> bool {
-        let until = Instant::now() + longest;
-        while Instant::now() < until {
-            let asked = caller::readiness(self.gateways[at].place.readiness());
-            if let Ok(Some(200)) = tokio::time::timeout(ASK_EVERY, asked).await {
+    async fn is_ready_within(&self, index: usize, timeout: Duration) -> bool {
+        let deadline = Instant::now() + timeout;
+        while Instant::now() < deadline {
+            let check = caller::readiness(self.gateways[index].place.readiness());
+            if let Ok(Some(200)) = tokio::time::timeout(READINESS_POLL_INTERVAL, check).await {
                 return true;
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
@@ -273,20 +287,22 @@
         false
     }
 
-    /// Ends all processes; what was seen of them.
-    pub async fn end(&self) -> Seen {
+    /// Stops all processes and returns what the run recorded.
+    pub async fn shut_down(&self) -> Observations {
         for gateway in &self.gateways {
             drop(gateway.child.take());
         }
         if let Some((mut child, stdin)) = self.platform.take() {
             drop(stdin);
-            let ended = tokio::time::timeout(UP_WITHIN, child.wait()).await;
-            if !matches!(ended, Ok(Ok(_))) {
-                let mut seen = self.seen.borrow_mut();
-                seen.ends.push("the platform did not end".to_string());
+            let exited = tokio::time::timeout(READY_TIMEOUT, child.wait()).await;
+            if !matches!(exited, Ok(Ok(_))) {
+                let mut observations = self.observations.borrow_mut();
+                observations
+                    .exit_failures
+                    .push("the platform did not end".to_string());
             }
         }
-        std::mem::take(&mut *self.seen.borrow_mut())
+        std::mem::take(&mut *self.observations.borrow_mut())
     }
 }
 
@@ -295,30 +311,30 @@
         Gateway {
             place,
             child: RefCell::new(None),
-            misses: Cell::new(0),
+            failed_checks: Cell::new(0),
             starts: Cell::new(0),
-            replacements: Cell::new(0),
+            restarts_in_progress: Cell::new(0),
         }
     }
 }
 
 impl Gateway {
-    /// How it ended, when it has since the last look.
-    fn has_ended(&self) -> Option<ExitStatus> {
+    /// Exit status if the process has exited since the last call.
+    fn try_exit_status(&self) -> Option<ExitStatus> {
         let mut child = self.child.borrow_mut();
         let status = child.as_mut()?.try_wait().ok()??;
         *child = None;
         Some(status)
     }
 
-    /// Waits until no process is there.
-    async fn ends_within(&self, longest: Duration) -> bool {
-        let until = Instant::now() + longest;
-        while Instant::now() < until {
-            if self.has_ended().is_some() || self.child.borrow().is_none() {
+    /// Waits for the process to exit; false on timeout.
+    async fn exits_within(&self, timeout: Duration) -> bool {
+        let deadline = Instant::now() + timeout;
+        while Instant::now() < deadline {
+            if self.try_exit_status().is_some() || self.child.borrow().is_none() {
                 return true;
             }
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(EXIT_POLL_INTERVAL).await;
         }
         false
     }
@@ -334,19 +350,19 @@
     Ok(folder)
 }
 
-/// The program that is told, or the one beside this one.
+/// The gateway program: `--program`, or `hollowsail` in the directory of this executable.
 fn program_for(options: &SoakOptions) -> PathBuf {
-    let beside = || {
+    let sibling = || {
         let own = std::env::current_exe().unwrap_or_default();
         own.with_file_name("hollowsail")
     };
-    options.program.clone().unwrap_or_else(beside)
+    options.program.clone().unwrap_or_else(sibling)
 }
 
 async fn start_platform(
     folder: &Path,
     site: &Path,
-    seen: &Rc<RefCell<Seen>>,
+    observations: &Rc<RefCell<Observations>>,
 ) -> Result<((Child, ChildStdin), SocketAddr), SoakError> {
     let program = std::env::current_exe().unwrap_or_default();
     let output = folder.join("platform.log");
@@ -360,45 +376,45 @@
         .kill_on_drop(true)
         .spawn()
         .context(StartSnafu { program: &program })?;
-    let not_up = || SoakError::NotUp {
-        what: "the platform".to_string(),
-        within: UP_WITHIN.as_secs(),
+    let not_ready = || SoakError::NotReady {
+        process: "the platform".to_string(),
+        timeout_s: READY_TIMEOUT.as_secs(),
         folder: folder.to_path_buf(),
     };
-    let stdin = child.stdin.take().ok_or_else(not_up)?;
-    let stdout = child.stdout.take().ok_or_else(not_up)?;
+    let stdin = child.stdin.take().ok_or_else(not_ready)?;
+    let stdout = child.stdout.take().ok_or_else(not_ready)?;
     let mut lines = BufReader::new(stdout).lines();
-    let store = tokio::time::timeout(UP_WITHIN, store_of(&mut lines)).await;
-    let store = store.ok().flatten().ok_or_else(not_up)?;
-    actix_rt::spawn(follow_events(lines, seen.clone()));
+    let store = tokio::time::timeout(READY_TIMEOUT, read_store_addr(&mut lines)).await;
+    let store = store.ok().flatten().ok_or_else(not_ready)?;
+    actix_rt::spawn(follow_events(lines, observations.clone()));
     Ok(((child, stdin), store))
 }
 
 type EventLines = tokio::io::Lines<BufReader<ChildStdout>>;
 
-/// Where the store is, by the platform's first event.
-async fn store_of(lines: &mut EventLines) -> Option<SocketAddr> {
+/// Address of the store, from the platform's first event.
+async fn read_store_addr(lines: &mut EventLines) -> Option<SocketAddr> {
     let line = lines.next_line().await.ok()??;
     let event: EventLine = serde_json::from_str(&line).ok()?;
     event.store?.parse().ok()
 }
 
-async fn follow_events(mut lines: EventLines, seen: Rc<RefCell<Seen>>) {
+async fn follow_events(mut lines: EventLines, observations: Rc<RefCell<Observations>>) {
     while let Ok(Some(line)) = lines.next_line().await {
         let event: EventLine = match serde_json::from_str(&line) {
             Ok(event) => event,
             Err(err) => {
-                log::warn!("an event of the platform can't be read: {err}: {line}");
+                log::warn!("cannot parse platform event: {err}: {line}");
                 continue;
             }
         };
-        let mut seen = seen.borrow_mut();
+        let mut observations = observations.borrow_mut();
         match (event.event.as_str(), event.request) {
-            ("ran", Some(request)) => drop(seen.ran.insert(request)),
+            ("ran", Some(request)) => drop(observations.ran.insert(request)),
             ("broken", _) => {
                 let promise = event.promise.unwrap_or_default();
                 let what = event.what.unwrap_or_default();
-                seen.broken.push(format!("{promise}: {what}"));
+                observations.broken.push(format!("{promise}: {what}"));
             }
             _ => {}
         }
--- a/crates/bench/src/soak/report.rs
+++ b/crates/bench/src/soak/report.rs
@@ -1,29 +1,29 @@
-//! What came of a run, for people.
+//! The printed report of a soak run: counts of outcomes, failures, and the command to repeat it.
 
 use std::fmt;
 
-/// Failures that are shown.
-const MOST_SHOWN: usize = 12;
+/// Maximum number of failures printed.
+const MAX_SHOWN_FAILURES: usize = 12;
 
-/// What came of a run.
+/// Result of a soak run.
 #[derive(Debug, Clone)]
 pub struct SoakReport {
     pub seed: u64,
     pub seconds: u64,
-    /// Attempts of callers, and how they ended.
+    /// Callers' attempts, in total and by outcome.
     pub attempts: usize,
     pub whole: usize,
     pub not_run: usize,
     pub unknown: usize,
-    /// Requests on which a target worked.
+    /// Requests that a target began to execute.
     pub ran: usize,
-    /// What broke a promise.
+    /// One line per broken promise or failed process.
     pub failures: Vec<String>,
 }
 
 impl SoakReport {
-    /// True when no promise was broken.
-    pub fn is_good(&self) -> bool {
+    /// True if no check failed.
+    pub fn is_success(&self) -> bool {
         self.failures.is_empty()
     }
 }
@@ -41,11 +41,11 @@
             self.unknown,
             self.ran
         )?;
-        if self.is_good() {
+        if self.is_success() {
             return write!(f, "all promises kept");
         }
         writeln!(f, "{} failures", self.failures.len())?;
-        for failure in self.failures.iter().take(MOST_SHOWN) {
+        for failure in self.failures.iter().take(MAX_SHOWN_FAILURES) {
             writeln!(f, "  {failure}")?;
         }
         write!(
--- a/crates/bench/tests/suite/day.rs
+++ b/crates/bench/tests/suite/day.rs
@@ -83,8 +83,8 @@
     expect_test::expect![[r#"
         day.ini:2: day.second: is not a field here; known fields: entries, halls, requests_per_second, seconds
         day.ini:4: pool.a.workers: is not a number from 1 to 10000
-        day.ini:5: stage.none.0: belongs to no kind; name kind.NAME before its stages
-        day.ini:6: stage.none.0.pool: names no pool; name pool.NAME before it is used
+        day.ini:5: stage.none.0: refers to an unknown kind; define kind.NAME before its stages
+        day.ini:6: stage.none.0.pool: refers to an unknown pool; define pool.NAME before it is used
         day.ini:8: trouble.x.what: is not known; use burst, slow, down, limited or restart
         5 fault(s); nothing was changed. Correct them and try again."#]].assert_eq(&faults.to_string());
 }
