--- a/crates/bench/src/arrivals.rs
+++ b/crates/bench/src/arrivals.rs
@@ -1,8 +1,7 @@
-//! Arrivals: what is sent when, decided before anything is sent.
+//! Open-loop arrivals, planned before a run: slow answers don't delay later requests.
 //!
-//! Open-loop: a slow answer holds nothing back. Times between arrivals are
-//! exponential at a rate that faults may multiply; everything follows from the
-//! seed, so each policy gets the same arrivals.
+//! Times between arrivals are exponentially distributed at a rate that faults may multiply.
+//! The plan depends on the seed alone, so every policy gets the same arrivals.
 
 use std::time::Duration;
 
@@ -12,24 +11,25 @@
 
 use crate::scenario::{FaultKind, FaultPlan, Scenario};
 
-/// Sessions of one organisation whose prompts share a prefix.
+/// Number of sessions per organisation; prompts of a session share a prefix.
 const SESSIONS: u32 = 40;
-/// Sessions are called by a skewed draw: small numbers come more often.
+/// Exponent of the session draw; above 1, sessions with small numbers are more frequent.
 const SESSION_SKEW: f64 = 2.0;
 
-/// One request to come.
+/// A planned request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Arrival {
+    /// Offset from the start of the run.
     pub at: Duration,
     pub id: String,
     pub org: String,
     pub pipeline: PipelineKey,
     pub session: String,
-    /// Sent to a second entry at the same moment.
+    /// Also sent to a second entry at the same time.
     pub duplicate: bool,
 }
 
-/// All arrivals of a run, in order of time.
+/// Plans all arrivals of a run, in order of time; `rate` is in requests per second.
 pub fn plan(
     scenario: &Scenario,
     deployment: &Deployment,
@@ -75,13 +75,13 @@
     weight: f64,
 }
 
-/// Every organisation with every pipeline that it may call.
+/// Lists each organisation with each pipeline that it may call.
 fn pairs(scenario: &Scenario, deployment: &Deployment) -> Vec<Pair> {
     let mut pairs = Vec::new();
     for org in &deployment.organisations {
         let key = deployment
             .find_organisation(&org.name)
-            .expect("it is there");
+            .expect("the organisation is configured");
         let share = match scenario.shares.is_empty() {
             true => 1.0,
             false => scenario.shares.get(&org.name).copied().unwrap_or(0.0),
@@ -102,7 +102,7 @@
     pairs
 }
 
-/// By how much faults multiply an organisation's arrivals at a moment.
+/// Multiple of an organisation's arrivals at a time, in seconds.
 fn factor(faults: &[FaultPlan], org: &str, at: f64) -> f64 {
     let at_ms = (at * 1000.0) as u64;
     faults
@@ -119,13 +119,13 @@
         .product()
 }
 
-/// Draws a position by weights that sum up to `total`.
+/// Draws an index by weights that sum up to `total`.
 pub(crate) fn draw_weighted(weights: &[f64], total: f64, rng: &mut SmallRng) -> usize {
-    let mut left = rng.random_range(0.0..total);
-    for (at, weight) in weights.iter().enumerate() {
-        left -= weight;
-        if left < 0.0 {
-            return at;
+    let mut remaining = rng.random_range(0.0..total);
+    for (index, weight) in weights.iter().enumerate() {
+        remaining -= weight;
+        if remaining < 0.0 {
+            return index;
         }
     }
     weights.len() - 1
--- a/crates/bench/src/chaos.rs
+++ b/crates/bench/src/chaos.rs
@@ -1,4 +1,4 @@
-//! Faults drawn from a seed: several kinds, at random places and moments.
+//! Random faults drawn from a seed, with random kinds, places and times.
 
 use hollowsail_config::Deployment;
 use rand::rngs::SmallRng;
@@ -6,10 +6,10 @@
 
 use crate::scenario::{FaultKind, FaultPlan};
 
-/// Keeps the draw of faults apart from that of arrivals.
+/// Makes the random sequence of faults differ from that of arrivals.
 const SEED_OFFSET: u64 = 0x00c0_ffee;
 
-/// Draws `count` faults within a run of `seconds`.
+/// Draws `count` faults that begin within a run of `seconds`.
 pub fn draw(
     count: usize,
     seed: u64,
--- a/crates/bench/src/commands/compare.rs
+++ b/crates/bench/src/commands/compare.rs
@@ -1,4 +1,4 @@
-//! `hollowsail-bench compare`
+//! `hollowsail-bench compare`: runs a scenario with several policies and prints their reports.
 
 use std::path::PathBuf;
 
@@ -67,7 +67,7 @@
                 runs: Vec::new(),
             })
             .collect();
-        // Policies take turns, so that a machine that slows down slows all.
+        // Policies alternate, so that changes in machine speed affect all of them.
         for seed in 1..=self.seeds {
             for report in &mut reports {
                 let plan = self.plan(&report.policy, capacity, seed)?;
@@ -88,7 +88,7 @@
 
     fn plan(&self, name: &str, capacity: f64, seed: u64) -> Result<RunPlan, BenchError> {
         let switches = policy::switches(name).ok_or_else(|| BenchError::Usage {
-            message: format!("there is no policy {name}; see --help"),
+            message: format!("unknown policy {name}; see --help"),
         })?;
         Ok(RunPlan {
             switches,
@@ -106,7 +106,7 @@
         if self.details {
             reports
                 .iter()
-                .for_each(|one| print!("{}", report::details(one)));
+                .for_each(|report| print!("{}", report::details(report)));
         }
     }
 }
--- a/crates/bench/src/commands/control.rs
+++ b/crates/bench/src/commands/control.rs
@@ -1,4 +1,4 @@
-//! `hollowsail-bench control`
+//! `hollowsail-bench control`: measures the control plane and prints its cost.
 
 use argh::FromArgs;
 use hollowsail_bench::control::{self, Size};
--- a/crates/bench/src/commands/day.rs
+++ b/crates/bench/src/commands/day.rs
@@ -1,4 +1,4 @@
-//! `hollowsail-bench day`
+//! `hollowsail-bench day`: simulates days with several policies and prints a table.
 
 use std::path::PathBuf;
 
@@ -50,7 +50,7 @@
         Ok(true)
     }
 
-    /// The policies to play, by name.
+    /// The selected policies with their names.
     fn policies(&self) -> Result<Vec<(String, DayPolicy)>, BenchError> {
         let names = match self.policy.is_empty() {
             true => DayPolicy::names(),
@@ -59,7 +59,7 @@
         let named = names.into_iter().map(|name| {
             let policy = DayPolicy::named(&name).ok_or_else(|| BenchError::Usage {
                 message: format!(
-                    "there is no policy {name}; use one of {}",
+                    "unknown policy {name}; use one of {}",
                     DayPolicy::names().join(", ")
                 ),
             })?;
@@ -69,7 +69,7 @@
     }
 }
 
-/// Plays every day with every policy; gives the reports of each policy.
+/// Plays each day with each policy; returns the reports by policy.
 fn play_all(
     day: &DayModel,
     days: &[Vec<DrawnRequest>],
@@ -84,7 +84,7 @@
     policies.iter().map(play_days).collect()
 }
 
-/// Mean of what no policy can exceed on the days.
+/// Mean of the days' upper bounds of credit.
 fn mean_bound(day: &DayModel, days: &[Vec<DrawnRequest>]) -> f64 {
     let bounds = days.iter().map(|drawn| bound::credit(day, drawn));
     bounds.sum::<f64>() / days.len().max(1) as f64
--- a/crates/bench/src/commands/decision.rs
+++ b/crates/bench/src/commands/decision.rs
@@ -1,4 +1,4 @@
-//! `hollowsail-bench decision`
+//! `hollowsail-bench decision`: measures the cost of a routing decision at several sizes.
 
 use argh::FromArgs;
 use hollowsail_bench::decision;
@@ -13,7 +13,7 @@
     json: bool,
 }
 
-/// Targets and organisations of the sizes that are measured.
+/// Measured sizes: numbers of targets and organisations.
 const SIZES: [(usize, usize); 3] = [(20, 5), (190, 950), (770, 3800)];
 
 impl Arguments {
--- a/crates/bench/src/commands/mod.rs
+++ b/crates/bench/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! One file per subcommand. Each returns whether the result is a good one.
+//! The subcommands, one per file. Each returns whether its checks passed.
 
 mod compare;
 mod control;
@@ -41,7 +41,7 @@
     }
 }
 
-/// Prints a value as JSON.
+/// Prints a value as indented JSON to standard output.
 pub fn print_json(value: &impl serde::Serialize) {
     match serde_json::to_string_pretty(value) {
         Ok(text) => println!("{text}"),
--- a/crates/bench/src/commands/overhead.rs
+++ b/crates/bench/src/commands/overhead.rs
@@ -1,4 +1,4 @@
-//! `hollowsail-bench overhead`
+//! `hollowsail-bench overhead`: measures the latency that an entry adds.
 
 use std::path::PathBuf;
 
--- a/crates/bench/src/commands/platform.rs
+++ b/crates/bench/src/commands/platform.rs
@@ -1,4 +1,4 @@
-//! `hollowsail-bench platform`
+//! `hollowsail-bench platform`: emulates the platform until standard input closes.
 
 use std::path::PathBuf;
 
@@ -25,9 +25,9 @@
         let emulator = Emulator::start(site, events).await;
         let store = emulator.store_addr().to_string();
         emulator.account.events.tell(&Event::Ready { store });
-        let mut rest = Vec::new();
-        if let Err(err) = tokio::io::stdin().read_to_end(&mut rest).await {
-            log::warn!("standard input can't be read: {err}");
+        let mut ignored = Vec::new();
+        if let Err(err) = tokio::io::stdin().read_to_end(&mut ignored).await {
+            log::warn!("cannot read standard input: {err}");
         }
         Ok(emulator.account.broken().is_empty())
     }
--- a/crates/bench/src/commands/run.rs
+++ b/crates/bench/src/commands/run.rs
@@ -1,4 +1,4 @@
-//! `hollowsail-bench run`
+//! `hollowsail-bench run`: runs a scenario with one policy and checks the promises.
 
 use std::path::PathBuf;
 
--- a/crates/bench/src/commands/soak.rs
+++ b/crates/bench/src/commands/soak.rs
@@ -1,4 +1,4 @@
-//! `hollowsail-bench soak`
+//! `hollowsail-bench soak`: runs the soak test for one or more seeds.
 
 use std::path::PathBuf;
 
--- a/crates/bench/src/control.rs
+++ b/crates/bench/src/control.rs
@@ -1,9 +1,8 @@
-//! What control costs: processor time, bytes, store calls and memory per
-//! entry, at rest and through a configuration change.
+//! Measures the control plane: CPU time, traffic, store calls and memory per entry, when idle
+//! and during configuration changes.
 //!
-//! All entries run in this process beside the store's stand-in, and nothing
-//! else uses the loopback interface meanwhile; so the figures are the whole
-//! process's over the number of entries, stand-ins included: an upper bound.
+//! Entries and the store's stand-in run in this process. The figures are totals of the process
+//! and of the loopback interface divided by the number of entries, so they are upper bounds.
 
 use std::time::{Duration, Instant};
 
@@ -27,43 +26,42 @@
     pub pipelines: usize,
 }
 
-/// Cost per entry.
+/// Control traffic and CPU time.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct Cost {
-    /// Share of one core.
+    /// CPU time per entry as a share of one core.
     pub core_share: f64,
-    /// Bytes sent and received a second, headers of all layers included.
+    /// Bytes sent and received per entry and second, including headers of all layers.
     pub bytes_per_second: f64,
-    /// Calls of the whole fleet a second.
+    /// Store calls of the whole fleet per second.
     pub store_calls_per_second: f64,
 }
 
-/// All figures of one size.
+/// Results for one size.
 #[derive(Debug, Clone, Serialize)]
 pub struct ControlReport {
     pub size: Size,
     pub at_rest: Cost,
-    /// While one organisation changes every second.
+    /// With a change of one organisation per second.
     pub changing: Cost,
     pub changes: usize,
-    /// From sending an apply until every entry reports it, in milliseconds.
+    /// Time from each apply until every entry reports the revision, in milliseconds.
     pub in_force_ms: Vec<u64>,
-    /// Resident memory of the whole process over the number of entries, in MB.
+    /// Resident memory of the process divided by the number of entries, in MB.
     pub memory_mb: f64,
-    /// Largest value written to the store, in bytes.
+    /// Size of the largest value in the store, in bytes.
     pub largest_chunk: usize,
 }
 
-/// How long rest is measured: two waits of a watch.
+/// Measurement time without changes; covers two waits of a watch.
 const REST: Duration = Duration::from_secs(20);
-/// How long changes are measured.
+/// Measurement time with changes.
 const CHANGING: Duration = Duration::from_secs(8);
-/// After the start, until things are quiet.
+/// Time after the start that is not measured.
 const SETTLE: Duration = Duration::from_secs(4);
-/// Between two changes.
-const CHANGE_EVERY: Duration = Duration::from_secs(1);
+const CHANGE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Measures one size.
+/// Measures a fleet and configuration of one size.
 pub async fn run(size: Size) -> Result<ControlReport, BenchError> {
     let files = vec![files(size, 1)];
     let options = LocalOptions {
@@ -107,43 +105,43 @@
     size: Size,
     phase: impl std::future::Future<Output = ()>,
 ) -> Cost {
-    let cpu = processor_seconds();
+    let cpu = cpu_seconds();
     let bytes = loopback_bytes();
     let calls = fleet.store.calls();
-    let begun = Instant::now();
+    let started = Instant::now();
     phase.await;
-    let elapsed = begun.elapsed().as_secs_f64();
+    let elapsed = started.elapsed().as_secs_f64();
     let after = fleet.store.calls();
     let calls = (after.0 - calls.0 + after.1 - calls.1) as f64;
-    // Each byte is sent by one end and received by another.
+    // Each byte on loopback is sent once and received once.
     let moved = 2.0 * (loopback_bytes() - bytes) as f64;
     Cost {
-        core_share: (processor_seconds() - cpu) / elapsed / size.entries as f64,
+        core_share: (cpu_seconds() - cpu) / elapsed / size.entries as f64,
         bytes_per_second: moved / elapsed / size.entries as f64,
         store_calls_per_second: calls / elapsed,
     }
 }
 
-/// Changes one organisation's weight every second.
+/// Changes one organisation's weight at each interval and records the time until in force.
 async fn change(fleet: &LocalFleet, in_force_ms: &mut Vec<u64>) {
-    let changes = CHANGING.as_secs() / CHANGE_EVERY.as_secs();
+    let changes = CHANGING.as_secs() / CHANGE_INTERVAL.as_secs();
     for at in 0..changes {
-        let due = Instant::now() + CHANGE_EVERY;
+        let due = Instant::now() + CHANGE_INTERVAL;
         let base = fleet.entry(0).entry.view().revision();
         let mut files = fleet.files.clone();
         let old = "[organisation.o0]\nhalls=h0, h1\nweight=1";
         let new = format!("[organisation.o0]\nhalls=h0, h1\nweight={}", at + 2);
         files[0].text = files[0].text.replace(old, &new);
-        let begun = Instant::now();
+        let started = Instant::now();
         let result = fleet.apply(0, files, base, &format!("change-{at}")).await;
         if matches!(&result, ApplyResult::Accepted { missing, .. } if missing.is_empty()) {
-            in_force_ms.push(begun.elapsed().as_millis() as u64);
+            in_force_ms.push(started.elapsed().as_millis() as u64);
         }
         tokio::time::sleep_until(due.into()).await;
     }
 }
 
-/// Files of a deployment of the given size.
+/// Generates the configuration file of a deployment of one size.
 pub fn files(size: Size, weight: u32) -> SourceFile {
     let mut text = String::from("[deployment]\nname = sized\n");
     for hall in 0..4 {
@@ -181,9 +179,9 @@
     }
 }
 
-/// User and system time of this process, in seconds.
-fn processor_seconds() -> f64 {
-    // Fields 14 and 15, counted from the state that follows the last bracket.
+/// User and system CPU time of this process, in seconds.
+fn cpu_seconds() -> f64 {
+    // Fields 14 (utime) and 15 (stime); counted from the state, after the command in brackets.
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let after_name = stat.rsplit(')').next().unwrap_or("");
     let ticks: f64 = after_name
@@ -195,7 +193,7 @@
     ticks / TICKS_PER_SECOND
 }
 
-/// Linux's unit of processor time in `/proc`.
+/// Clock ticks per second of the times in `/proc`.
 const TICKS_PER_SECOND: f64 = 100.0;
 
 fn loopback_bytes() -> u64 {
--- a/crates/bench/src/day/world/stages.rs
+++ b/crates/bench/src/day/world/stages.rs
@@ -79,8 +79,8 @@
     /// Starts every call that can start now.
     pub(super) fn start_calls(&mut self) {
         for pool in 0..self.pools.len() {
-            let begun = self.pools[pool].start_calls(self.now);
-            for call in begun {
+            let started_calls = self.pools[pool].start_calls(self.now);
+            for call in started_calls {
                 self.schedule_end(pool, call);
             }
         }
--- a/crates/bench/src/decision.rs
+++ b/crates/bench/src/decision.rs
@@ -1,7 +1,7 @@
-//! What one routing decision costs: judging a request, collecting candidates,
-//! choosing one, and taking and giving back its slot.
+//! Measures the cost of a routing decision: admitting a request, collecting candidates,
+//! choosing one, and taking and returning its slot.
 //!
-//! All targets belong to one service, the worst case for one decision.
+//! All targets belong to one service, the worst case for a decision.
 
 use std::time::{Duration, Instant};
 
@@ -21,12 +21,12 @@
 
 use crate::run::{BenchError, StartSnafu};
 
-/// Decisions that are timed together.
+/// Number of decisions timed together.
 const ROUNDS: u32 = 20_000;
-/// Time that a decision believes to have.
-const LEFT: Duration = Duration::from_secs(1);
+/// Remaining time that each decision is given.
+const REMAINING: Duration = Duration::from_secs(1);
 
-/// Cost at one size.
+/// Cost of a decision at one size.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct DecisionReport {
     pub targets: usize,
@@ -34,7 +34,7 @@
     pub microseconds: f64,
 }
 
-/// Measures one size.
+/// Measures the cost with a number of targets and organisations.
 pub async fn run(targets: usize, organisations: usize) -> Result<DecisionReport, BenchError> {
     let options = LocalOptions {
         entries: 1,
@@ -47,7 +47,10 @@
         .context(StartSnafu)?;
     let running = fleet.entry(0);
     let worker = Worker::new(running.entry.clone(), running.control.clone());
-    let configuration = worker.entry.configuration().expect("it is in force");
+    let configuration = worker
+        .entry
+        .configuration()
+        .expect("a started fleet has a configuration");
     let last_org = format!("o{}", organisations - 1);
     let job = Job {
         request: "r".into(),
@@ -63,7 +66,7 @@
     let deployment = &configuration.deployment;
     let org = deployment
         .find_organisation(&last_org)
-        .expect("it is there");
+        .expect("the organisation is configured");
     let task = StageTask {
         worker: &worker,
         job: &job,
@@ -73,18 +76,20 @@
         over_share: false,
         sink: None,
     };
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut found = 0u32;
     for _ in 0..ROUNDS {
         let admitted = admission::judge(&worker, deployment, org, job.pipeline, 10_000);
-        let route = routes::find(&task, 1, &[], None, LEFT).await;
+        let route = routes::find(&task, 1, &[], None, REMAINING).await;
         found += u32::from(admitted.is_ok() && matches!(route, Found::Route(_)));
     }
-    let elapsed = begun.elapsed();
+    let elapsed = started.elapsed();
     fleet.shut_down().await;
     if found < ROUNDS {
         return Err(BenchError::Usage {
-            message: format!("only {found} of {ROUNDS} decisions found a target"),
+            message: format!(
+                "only {found} of {ROUNDS} decisions found a target; the cost is not comparable"
+            ),
         });
     }
     Ok(DecisionReport {
--- a/crates/bench/src/faults.rs
+++ b/crates/bench/src/faults.rs
@@ -1,4 +1,4 @@
-//! Switching faults on and off while a run goes on.
+//! Injects the faults of a scenario: switches each on and off on schedule during a run.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,28 +12,28 @@
 use crate::load::Callers;
 use crate::scenario::{FaultKind, FaultPlan};
 
-/// How long the balancer goes on sending to an entry that is gone.
+/// How long the load balancer still sends to an entry after its end.
 const BALANCER_LAG: Duration = Duration::from_millis(1000);
 
-/// One switch in time.
+/// A scheduled switch of a fault.
 struct Switch {
     at: Duration,
     on: bool,
     kind: FaultKind,
 }
 
-/// What came of applies that raced each other.
+/// Outcomes of concurrent applies.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct ApplyCounts {
     pub sent: usize,
     pub accepted: usize,
     pub conflicts: usize,
-    /// The store did not answer, or not clearly.
+    /// Outcome unknown, because the store did not answer.
     pub unanswered: usize,
 }
 
 impl ApplyCounts {
-    /// The sum of two counts.
+    /// Adds two counts.
     pub fn plus(self, other: ApplyCounts) -> ApplyCounts {
         ApplyCounts {
             sent: self.sent + other.sent,
@@ -53,7 +53,7 @@
     }
 }
 
-/// What faults change in a run.
+/// The parts of a run that faults act on.
 pub struct Injection<'a> {
     pub fleet: &'a mut LocalFleet,
     pub callers: &'a Callers,
@@ -62,7 +62,7 @@
 }
 
 impl Injection<'_> {
-    /// Carries out all faults of a run, in order of time.
+    /// Injects all faults of a run in order of time, until `end`.
     pub async fn run(&mut self, plans: &[FaultPlan], start: Instant, end: Instant) {
         for switch in switches(plans) {
             let due = start + switch.at;
@@ -70,11 +70,11 @@
                 break;
             }
             tokio::time::sleep_until(due.into()).await;
-            self.carry_out(&switch).await;
+            self.apply_switch(&switch).await;
         }
     }
 
-    async fn carry_out(&mut self, switch: &Switch) {
+    async fn apply_switch(&mut self, switch: &Switch) {
         match &switch.kind {
             FaultKind::Burst { .. } | FaultKind::Flood { .. } => {}
             FaultKind::StoreDown => self.fleet.store.set_faults(StoreFaults {
@@ -92,7 +92,7 @@
             FaultKind::RacingApplies { .. } if switch.on => self.race_applies().await,
             FaultKind::RacingApplies { .. } => {}
             FaultKind::HallLost { hall } => self.lose_hall(hall, switch.on).await,
-            of_targets => set_target_faults(self.fleet, of_targets, switch.on),
+            target_fault => set_target_faults(self.fleet, target_fault, switch.on),
         }
     }
 
@@ -100,7 +100,7 @@
         if let Some(entry) = self.fleet.take_entry(place) {
             let address = entry.callers;
             entry.kill().await;
-            balancer_notices(self.callers, address);
+            remove_from_balancer(self.callers, address);
         }
     }
 
@@ -116,13 +116,13 @@
         for place in 0..self.fleet.entries.len() {
             self.add_entry().await;
             if let Some(entry) = self.fleet.take_entry(place) {
-                balancer_notices(self.callers, entry.callers);
+                remove_from_balancer(self.callers, entry.callers);
                 entry.stop().await;
             }
         }
     }
 
-    /// Two applies on the same base, at the first and the last running entry.
+    /// Sends two concurrent applies on the same base to the first and the last running entry.
     async fn race_applies(&mut self) {
         let places: Vec<usize> = (0..self.fleet.entries.len())
             .filter(|&place| self.fleet.entries[place].is_some())
@@ -131,9 +131,9 @@
             return;
         };
         let base = self.fleet.entry(first).entry.view().revision();
-        let changed = |who: &str| {
+        let changed = |operator: &str| {
             let mut files = self.fleet.files.clone();
-            files[0].text += &format!("; applied by {who} on {base}\n");
+            files[0].text += &format!("; applied by {operator} on {base}\n");
             files
         };
         let ids = [format!("one-{base}"), format!("two-{base}")];
@@ -177,7 +177,7 @@
     }
 }
 
-/// Switches of all faults in order of time; applies race again and again.
+/// Lists the switches of all faults in order of time; concurrent applies repeat.
 fn switches(plans: &[FaultPlan]) -> Vec<Switch> {
     let mut switches: Vec<Switch> = plans
         .iter()
@@ -205,8 +205,8 @@
     switches
 }
 
-/// The balancer drops an entry after its lag; tickets go with it.
-fn balancer_notices(callers: &Callers, address: SocketAddr) {
+/// Removes an entry and its tickets from the load balancer after its lag.
+fn remove_from_balancer(callers: &Callers, address: SocketAddr) {
     let callers = callers.clone();
     actix_rt::spawn(async move {
         tokio::time::sleep(BALANCER_LAG).await;
@@ -214,7 +214,7 @@
     });
 }
 
-/// Faults of targets by the beginning of their names.
+/// Sets or clears a fault of the targets whose names have its prefix.
 fn set_target_faults(fleet: &LocalFleet, kind: &FaultKind, on: bool) {
     let Some((prefix, faults)) = target_faults(kind) else {
         return;
--- a/crates/bench/src/history.rs
+++ b/crates/bench/src/history.rs
@@ -1,4 +1,6 @@
-//! Checks what callers were told against what targets executed.
+//! Checks the answers of callers against the executions of targets.
+//!
+//! Each check belongs to a named promise; [`check`] counts checks and violations per promise.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex};
@@ -14,7 +16,7 @@
 
 use crate::load::CallRecord;
 
-/// One promise: how often it was checked and how often it was broken.
+/// Counts of a promise: how often it was checked and how often it was broken.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Promise {
     pub checks: usize,
@@ -33,7 +35,7 @@
     }
 }
 
-/// Every promise by name.
+/// Counts of all promises, by name.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Promises(pub BTreeMap<&'static str, Promise>);
 
@@ -42,7 +44,7 @@
         self.0.entry(name).or_default().check(holds);
     }
 
-    /// Broken promises of all kinds.
+    /// Total number of violations.
     pub fn broken(&self) -> usize {
         self.0.values().map(|promise| promise.broken).sum()
     }
@@ -55,7 +57,7 @@
     }
 }
 
-/// Compares callers' records with targets' executions.
+/// Checks callers' records, targets' executions and the revisions seen by each entry.
 pub fn check(
     deployment: &Deployment,
     records: &[CallRecord],
@@ -115,12 +117,12 @@
         Outcome::Unknown => {}
     }
     for stage in &answer.stages {
-        let begun = executed.iter().any(|e| e.stage() == stage.stage);
+        let was_executed = executed.iter().any(|e| e.stage() == stage.stage);
         match stage.status {
             StageStatus::NotRun => {
-                promises.check("a stage not run was not executed", !begun);
+                promises.check("a stage not run was not executed", !was_executed);
             }
-            StageStatus::Ran => promises.check("a stage that ran was executed", begun),
+            StageStatus::Ran => promises.check("a stage that ran was executed", was_executed),
             StageStatus::Unknown => {}
         }
     }
@@ -147,7 +149,7 @@
     }
 }
 
-/// Two sends under one ticket never get two different whole answers.
+/// Checks that two sends under one ticket never get different whole answers.
 fn check_same_answer(promises: &mut Promises, deployment: &Deployment, records: &[CallRecord]) {
     let mut first: HashMap<&str, &Value> = HashMap::new();
     let once = records
@@ -162,7 +164,7 @@
     }
 }
 
-/// What the stand-ins answer to a request, computed without any entry.
+/// Output of the stand-ins for a request, computed without an entry.
 fn expected_output(deployment: &Deployment, record: &CallRecord) -> Option<Value> {
     let org = deployment.find_organisation(&record.arrival.org)?;
     let pipeline = record.arrival.pipeline;
@@ -170,7 +172,7 @@
     Some(output::of_pipeline(deployment, org, pipeline, input))
 }
 
-/// Samples the revision that each entry has in force, while a run goes on.
+/// Samples the configuration revision of each entry during a run.
 #[derive(Clone, Default)]
 pub struct RevisionSampler {
     watched: Arc<Mutex<Vec<Watched>>>,
@@ -181,11 +183,10 @@
     seen: Vec<u64>,
 }
 
-/// Between two samples of revisions.
-const SAMPLE_EVERY: Duration = Duration::from_millis(20);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
 
 impl RevisionSampler {
-    /// Watches an entry from now on, also after it has stopped.
+    /// Starts sampling an entry; sampling continues after it has stopped.
     pub fn watch(&self, entry: &Arc<Entry>) {
         let mut watched = self.watched.lock().expect("no panic while held");
         watched.push(Watched {
@@ -194,17 +195,17 @@
         });
     }
 
-    /// Samples until it is dropped.
+    /// Samples until the future is dropped.
     pub async fn run(&self) {
         loop {
             for one in self.watched.lock().expect("no panic while held").iter_mut() {
                 one.seen.push(one.entry.view().revision());
             }
-            tokio::time::sleep(SAMPLE_EVERY).await;
+            tokio::time::sleep(SAMPLE_INTERVAL).await;
         }
     }
 
-    /// Revisions by entry, in order of time.
+    /// Sampled revisions of each entry, in order of time.
     pub fn revisions(&self) -> Vec<Vec<u64>> {
         let watched = self.watched.lock().expect("no panic while held");
         watched.iter().map(|one| one.seen.clone()).collect()
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,11 +1,9 @@
-//! Load and experiments: scenarios, faults, history checking, reports.
+//! Load generation, fault injection and checks for hollowsail.
 //!
-//! A [`scenario`] names a deployment, a load and faults. [`run::run`] starts a
-//! fleet and stand-ins on loopback, sends [`arrivals`] open-loop while
-//! [`faults`] are switched on and off, and ends in a [`report::RunReport`]:
-//! what callers got, what targets spent, and what [`history`] says of the
-//! promises. The same seed gives the same arrivals to every policy. [`day`]
-//! emulates a day without sockets, to compare decisions over many seeds.
+//! A [`scenario`] describes a deployment, a load and faults. [`run::run`] starts a fleet and
+//! stand-ins on loopback, sends [`arrivals`] open-loop while [`faults`] are injected, and
+//! returns a [`report::RunReport`] with the promises that [`history`] checks. [`soak`] tests
+//! gateway processes; [`day`] simulates a day without sockets, to compare policies.
 
 pub mod arrivals;
 pub mod capacity;
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -1,8 +1,7 @@
-//! Callers: each arrival becomes a request, sent when it is due.
+//! Callers: sends each arrival as a request when it is due, and records the outcome.
 //!
-//! A caller asks the entries in turn, as a balancer would spread it, and goes
-//! to the next one only when nothing was sent. Latency counts from the moment
-//! the request was due, not from when it could be sent.
+//! Entries are used in turn, as behind a load balancer; a caller goes on to the next entry only
+//! if nothing was sent. Latency is measured from the time at which a request was due.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -23,24 +22,24 @@
 
 use crate::arrivals::Arrival;
 
-/// Tickets fetched at a time.
+/// Tickets fetched from an entry at a time.
 const TICKETS: usize = 20;
 
-/// What came of one request, or of one of its two sends.
+/// Outcome of a request, or of one of its two sends.
 #[derive(Debug, Clone)]
 pub struct CallRecord {
     pub arrival: Arrival,
     pub input: Value,
-    /// From the moment it was due.
+    /// From the time it was due.
     pub latency: Duration,
-    /// `None`: the connection broke before an answer.
+    /// `None` if no entry could be reached or the connection broke.
     pub answer: Option<AnswerBody>,
     /// True for the second send of a duplicate.
     pub second: bool,
 }
 
 impl CallRecord {
-    /// Answered whole and in time.
+    /// True if answered whole within the deadline.
     pub fn attained(&self, deadline: Duration) -> bool {
         self.latency <= deadline
             && self
@@ -57,18 +56,18 @@
 /// Tickets fetched ahead, by issuing entry and organisation.
 type TicketPool = HashMap<(SocketAddr, String), Vec<String>>;
 
-/// Entries asked for a ticket before a request goes without.
+/// Maximum number of entries tried for a ticket; then the request is sent without one.
 const TICKET_TRIES: usize = 3;
-/// Threads that callers run on: one could not keep up with a burst.
+/// Threads that callers run on; one thread could not keep up with a burst.
 const THREADS: usize = 4;
 
-/// Shared by all callers of a run.
+/// Handle to the state shared by all callers of a run.
 #[derive(Clone)]
 pub struct Callers(Arc<Shared>);
 
 struct Shared {
     deployment: Deployment,
-    /// Entries that the balancer knows of; changes when entries come and go.
+    /// Entries that the load balancer sends to.
     entries: Mutex<Vec<SocketAddr>>,
     tickets: Mutex<TicketPool>,
     next: AtomicUsize,
@@ -86,16 +85,16 @@
         }))
     }
 
-    /// What came of all requests so far.
+    /// Records of all completed requests.
     pub fn records(&self) -> Vec<CallRecord> {
         lock(&self.0.records).clone()
     }
 
-    /// Sends every arrival when it is due and waits for all answers.
+    /// Sends each arrival when it is due, and waits for all answers.
     pub async fn send_all(&self, arrivals: Vec<Arrival>, start: Instant) {
         let mut parts: Vec<Vec<Arrival>> = vec![Vec::new(); THREADS];
-        for (at, arrival) in arrivals.into_iter().enumerate() {
-            parts[at % THREADS].push(arrival);
+        for (index, arrival) in arrivals.into_iter().enumerate() {
+            parts[index % THREADS].push(arrival);
         }
         let parts = parts.into_iter().map(|part| {
             let callers = self.clone();
@@ -107,7 +106,7 @@
         join_all(parts).await;
     }
 
-    /// A caller bound to the thread it is made on.
+    /// Creates callers bound to the current thread.
     pub fn on_this_thread(&self) -> ThreadCallers {
         ThreadCallers {
             caller: Caller::default(),
@@ -115,19 +114,19 @@
         }
     }
 
-    /// The balancer begins to send to an entry.
+    /// Adds an entry to the load balancer.
     pub fn add_entry(&self, entry: SocketAddr) {
         lock(&self.0.entries).push(entry);
     }
 
-    /// The balancer stops sending to an entry; its tickets go with it.
+    /// Removes an entry from the load balancer and discards its tickets.
     pub fn drop_entry(&self, entry: SocketAddr) {
         lock(&self.0.entries).retain(|known| *known != entry);
-        lock(&self.0.tickets).retain(|(at, _), _| *at != entry);
+        lock(&self.0.tickets).retain(|(issuer, _), _| *issuer != entry);
     }
 }
 
-/// Makes a future on a thread of its own and runs it there to its end.
+/// Creates a future on a new thread and runs it there to completion.
 pub async fn on_thread<F, W>(make: F)
 where
     F: FnOnce() -> W + Send + 'static,
@@ -150,7 +149,7 @@
     shared.lock().expect("no panic while held")
 }
 
-/// Callers of one thread.
+/// The callers of one thread.
 #[derive(Clone)]
 pub struct ThreadCallers {
     caller: Caller,
@@ -171,7 +170,7 @@
         join_all(running).await;
     }
 
-    /// Sends one request and records what came of it.
+    /// Sends a request, twice for a duplicate, and records the outcome.
     pub async fn send(&self, arrival: Arrival, due: Instant) {
         let runs_once = self
             .shared
@@ -182,16 +181,16 @@
             true => self.ticket(&arrival.org).await,
             false => None,
         };
-        let first = self.send_to_some(&arrival, ticket.clone(), due, false);
+        let first = self.send_with_failover(&arrival, ticket.clone(), due, false);
         if arrival.duplicate && runs_once {
-            let second = self.send_to_some(&arrival, ticket, due, true);
+            let second = self.send_with_failover(&arrival, ticket, due, true);
             tokio::join!(first, second);
         } else {
             first.await;
         }
     }
 
-    async fn send_to_some(
+    async fn send_with_failover(
         &self,
         arrival: &Arrival,
         ticket: Option<String>,
@@ -210,7 +209,7 @@
         let mut answer = None;
         for _ in 0..tries {
             match self.caller.call(self.next_entry(), &request).await {
-                Ok(answered) => answer = Some(answered.body),
+                Ok(response) => answer = Some(response.body),
                 Err(CallerError::NotSent { .. }) => continue,
                 Err(CallerError::Broken { .. }) => {}
             }
@@ -231,26 +230,25 @@
         entries[next % entries.len()]
     }
 
-    /// A ticket fetched ahead; the first of each batch waits for it. An entry
-    /// that does not answer is passed over.
+    /// Takes a prefetched ticket, or fetches a new batch. Skips entries that do not answer.
     async fn ticket(&self, org: &str) -> Option<String> {
         let key = format!("demo-{org}");
         for _ in 0..TICKET_TRIES {
             let entry = self.next_entry();
-            let known = (entry, org.to_string());
-            let kept = lock(&self.shared.tickets)
-                .get_mut(&known)
+            let pool_key = (entry, org.to_string());
+            let prefetched = lock(&self.shared.tickets)
+                .get_mut(&pool_key)
                 .and_then(Vec::pop);
-            if kept.is_some() {
-                return kept;
+            if prefetched.is_some() {
+                return prefetched;
             }
             let Ok(mut fetched) = self.caller.tickets(entry, &key, TICKETS).await else {
                 continue;
             };
-            let one = fetched.pop();
+            let ticket = fetched.pop();
             let mut tickets = lock(&self.shared.tickets);
-            tickets.entry(known).or_default().extend(fetched);
-            return one;
+            tickets.entry(pool_key).or_default().extend(fetched);
+            return ticket;
         }
         None
     }
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,5 +1,6 @@
-//! The `hollowsail-bench` command: parses arguments and hands them to the
-//! library.
+//! The `hollowsail-bench` command: parses arguments and runs a subcommand.
+//!
+//! Exit codes: 0 on success, 1 if a check failed, 2 on an error.
 
 mod commands;
 
@@ -18,7 +19,7 @@
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("off")).init();
     let arguments: HollowsailBench = argh::from_env();
     match actix_rt::System::new().block_on(arguments.command.run()) {
-        Ok(good) => ExitCode::from(u8::from(!good)),
+        Ok(passed) => ExitCode::from(u8::from(!passed)),
         Err(err) => {
             eprintln!("error: {err}");
             ExitCode::from(2)
--- a/crates/bench/src/overhead.rs
+++ b/crates/bench/src/overhead.rs
@@ -1,5 +1,6 @@
-//! What an entry adds to a request: the same stand-ins, called straight and
-//! through an entry, in turns within one run.
+//! Measures the latency that an entry adds to a request.
+//!
+//! The same stand-ins are called directly and through an entry, alternating within one run.
 
 use std::path::Path;
 use std::time::Instant;
@@ -18,19 +19,19 @@
 
 use crate::run::{BenchError, ReadSnafu, StartSnafu};
 
-/// Longest latency told apart, in microseconds.
+/// Upper bound of the latency histograms, in microseconds.
 const MAX_LATENCY_US: u64 = 600_000_000;
-/// Requests each way before counting.
+/// Number of unmeasured requests of each kind at the start.
 const WARM_UP: usize = 200;
 
-/// Latencies in milliseconds.
+/// Latency quantiles in milliseconds.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct Latency {
     pub p50_ms: f64,
     pub p99_ms: f64,
 }
 
-/// Both ways, and the difference a stage.
+/// Latencies of a pipeline, and the difference per stage.
 #[derive(Debug, Clone, Serialize)]
 pub struct OverheadReport {
     pub pipeline: String,
@@ -42,7 +43,7 @@
     pub added_per_stage_p99_ms: f64,
 }
 
-/// Measures every pipeline that may be repeated.
+/// Measures each pipeline that is safe to repeat.
 pub async fn run(deployment: &Path, requests: usize) -> Result<Vec<OverheadReport>, BenchError> {
     let files = read_directory(deployment).context(ReadSnafu)?;
     let options = LocalOptions {
@@ -58,25 +59,25 @@
         .await
         .context(StartSnafu)?;
     let mut reports = Vec::new();
-    for (at, pipeline) in fleet.deployment.pipelines.iter().enumerate() {
+    for (index, pipeline) in fleet.deployment.pipelines.iter().enumerate() {
         if pipeline.runs_once() {
             continue;
         }
         let mut straight = histogram();
-        let mut through = histogram();
+        let mut through_entry = histogram();
         for round in 0..requests + WARM_UP {
-            let begun = Instant::now();
-            call_straight(&fleet, at, round).await;
-            let direct = begun.elapsed();
-            let begun = Instant::now();
-            call_through(&fleet, at, round).await;
-            let passed = begun.elapsed();
+            let started = Instant::now();
+            call_directly(&fleet, index, round).await;
+            let straight_time = started.elapsed();
+            let started = Instant::now();
+            call_through_entry(&fleet, index, round).await;
+            let entry_time = started.elapsed();
             if round >= WARM_UP {
-                straight.saturating_record(direct.as_micros() as u64);
-                through.saturating_record(passed.as_micros() as u64);
+                straight.saturating_record(straight_time.as_micros() as u64);
+                through_entry.saturating_record(entry_time.as_micros() as u64);
             }
         }
-        let (straight, through_entry) = (latency(&straight), latency(&through));
+        let (straight, through_entry) = (latency(&straight), latency(&through_entry));
         let stages = pipeline.stages.len();
         reports.push(OverheadReport {
             pipeline: pipeline.name.clone(),
@@ -109,7 +110,7 @@
     static CALLER: Caller = Caller::default();
 }
 
-async fn call_straight(fleet: &LocalFleet, pipeline: usize, round: usize) {
+async fn call_directly(fleet: &LocalFleet, pipeline: usize, round: usize) {
     let client = CLIENT.with(Clone::clone);
     let deployment = &fleet.deployment;
     let pipeline = &deployment.pipelines[pipeline];
@@ -132,8 +133,8 @@
             ServiceKind::Engine => read_stream(&client, target.address, &call).await,
             _ => {
                 let limit = std::time::Duration::from_secs(10);
-                let answered = target::call(&client, target.address, "o", &call, limit).await;
-                answered.map_or(Value::Null, |(output, _)| output)
+                let result = target::call(&client, target.address, "o", &call, limit).await;
+                result.map_or(Value::Null, |(output, _)| output)
             }
         };
     }
@@ -151,7 +152,7 @@
     json!({ "text": text })
 }
 
-async fn call_through(fleet: &LocalFleet, pipeline: usize, round: usize) {
+async fn call_through_entry(fleet: &LocalFleet, pipeline: usize, round: usize) {
     let caller = CALLER.with(Clone::clone);
     let deployment = &fleet.deployment;
     let org = deployment
--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -1,15 +1,15 @@
-//! Policies by name: this project's own, the simple ones it is compared with,
-//! and its own with one mechanism switched off.
+//! Policies by name: the daemon's own, the baselines it is compared with, and its own with one
+//! mechanism disabled.
 
 use hollowsail_routing::{Choosing, Switches};
 
-/// Name of this project's policy.
+/// Name of the daemon's own policy.
 pub const OWN: &str = "hollowsail";
-/// Stands before the name of a mechanism that is switched off.
+/// Prefix of the name of a disabled mechanism.
 pub const WITHOUT: &str = "hollowsail-without-";
-/// Simple policies, kept for good.
+/// Baseline policies.
 pub const BASELINES: [&str; 3] = ["random", "round-robin", "least-reported-load"];
-/// Mechanisms that `hollowsail-without-NAME` switches off.
+/// Mechanisms that `hollowsail-without-NAME` disables.
 pub const MECHANISMS: [&str; 8] = [
     "choosing",
     "early-refusal",
@@ -21,7 +21,7 @@
     "target-limits",
 ];
 
-/// The switches of a policy; `None` when there is no such policy.
+/// Returns the switches of a policy, or `None` if it does not exist.
 pub fn switches(name: &str) -> Option<Switches> {
     match name {
         OWN => Some(Switches::default()),
--- a/crates/bench/src/report.rs
+++ b/crates/bench/src/report.rs
@@ -1,4 +1,4 @@
-//! What a run, and several runs of a policy, come to.
+//! Reports of single runs and of several runs of a policy, as data and as printed tables.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,14 +12,14 @@
 use crate::load::CallRecord;
 use crate::scenario::Scenario;
 
-/// Longest latency told apart, in microseconds.
+/// Upper bound of the latency histogram, in microseconds.
 const MAX_LATENCY_US: u64 = 600_000_000;
 
-/// One run in figures.
+/// Results of one run.
 #[derive(Debug, Clone, Serialize)]
 pub struct RunReport {
     pub requests: usize,
-    /// Share answered whole within the deadline.
+    /// Share of requests answered whole within the deadline.
     pub attainment: f64,
     pub by_organisation: BTreeMap<String, f64>,
     pub by_pipeline: BTreeMap<String, f64>,
@@ -28,12 +28,12 @@
     pub p50_ms: f64,
     pub p95_ms: f64,
     pub p99_ms: f64,
-    /// How requests that were not answered in time ended, by kind.
+    /// Number of requests not answered in time, by outcome.
     pub misses: BTreeMap<String, usize>,
     /// Attainment before, during and after each fault.
     pub around_faults: BTreeMap<String, [f64; 3]>,
     pub store_calls_per_second: f64,
-    /// Applies that raced each other while the run went on.
+    /// Results of concurrent applies during the run.
     pub applies: ApplyCounts,
     pub promises: Promises,
 }
@@ -43,7 +43,7 @@
         scenario: &Scenario,
         deployment: &Deployment,
         records: &[CallRecord],
-        spent: Vec<(String, f64)>,
+        target_seconds: Vec<(String, f64)>,
         promises: Promises,
         store_calls_per_second: f64,
         applies: ApplyCounts,
@@ -51,8 +51,8 @@
         let firsts: Vec<&CallRecord> = records.iter().filter(|r| !r.second).collect();
         let attained = |record: &CallRecord| record.attained(deadline(deployment, record));
         let in_time = firsts.iter().filter(|r| attained(r)).count();
-        let share = |of: &dyn Fn(&CallRecord) -> bool| {
-            let all: Vec<_> = firsts.iter().filter(|r| of(r)).collect();
+        let share = |is_included: &dyn Fn(&CallRecord) -> bool| {
+            let all: Vec<_> = firsts.iter().filter(|r| is_included(r)).collect();
             let good = all.iter().filter(|r| attained(r)).count();
             ratio(good, all.len())
         };
@@ -77,7 +77,7 @@
                     )
                 })
                 .collect(),
-            cost: spent
+            cost: target_seconds
                 .into_iter()
                 .map(|(service, seconds)| (service, seconds / in_time.max(1) as f64))
                 .collect(),
@@ -89,11 +89,11 @@
                 .faults
                 .iter()
                 .map(|fault| {
-                    let (begin, end) = (fault.at_ms, fault.at_ms + fault.for_ms);
+                    let (start, end) = (fault.at_ms, fault.at_ms + fault.for_ms);
                     let at = |r: &CallRecord| r.arrival.at.as_millis() as u64;
                     let shares = [
-                        share(&|r| at(r) < begin),
-                        share(&|r| (begin..end).contains(&at(r))),
+                        share(&|r| at(r) < start),
+                        share(&|r| (start..end).contains(&at(r))),
                         share(&|r| at(r) >= end),
                     ];
                     (fault.name.clone(), shares)
@@ -116,7 +116,7 @@
     Duration::from_millis(u64::from(pipeline.deadline_ms))
 }
 
-/// 1 when there is nothing to count: nothing was missed.
+/// Share of good items; 1 if there are none.
 fn ratio(good: usize, all: usize) -> f64 {
     if all == 0 {
         1.0
@@ -150,14 +150,14 @@
     misses
 }
 
-/// Several seeds of one policy: medians, and the spread of what matters most.
+/// Runs of one policy with several seeds.
 #[derive(Debug, Clone, Serialize)]
 pub struct PolicyReport {
     pub policy: String,
     pub runs: Vec<RunReport>,
 }
 
-/// Lowest, median and highest of a figure over seeds.
+/// Minimum, median and maximum of a figure over several runs.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Spread {
     pub low: f64,
@@ -165,11 +165,11 @@
     pub high: f64,
 }
 
-/// Lowest, median and highest of some figures.
+/// Computes the spread of figures; NaN if there are none.
 pub fn spread(figures: impl Iterator<Item = f64>) -> Spread {
     let mut sorted: Vec<f64> = figures.collect();
     sorted.sort_by(f64::total_cmp);
-    let at = |place: usize| sorted.get(place).copied().unwrap_or(f64::NAN);
+    let at = |index: usize| sorted.get(index).copied().unwrap_or(f64::NAN);
     Spread {
         low: at(0),
         median: at(sorted.len() / 2),
@@ -182,7 +182,7 @@
         spread(self.runs.iter().map(figure))
     }
 
-    /// All promises of all runs.
+    /// Sums of the promise counts of all runs.
     pub fn promises(&self) -> Promises {
         let mut all = Promises::default();
         self.runs.iter().for_each(|run| all.add(&run.promises));
@@ -190,7 +190,7 @@
     }
 }
 
-/// A table for people: one line a policy.
+/// Formats a table with one line per policy.
 pub fn table(reports: &[PolicyReport]) -> String {
     let mut text = format!(
         "{:<34} {:>9} {:>17} {:>9} {:>8} {:>8} {:>8} {:>7}\n",
@@ -214,7 +214,7 @@
     text
 }
 
-/// Details of one policy: organisations, costs, misses, faults, promises.
+/// Formats the details of a policy: organisations, costs, misses, faults, promises.
 pub fn details(report: &PolicyReport) -> String {
     let mut text = format!("{}:\n", report.policy);
     let Some(first) = report.runs.first() else {
@@ -236,8 +236,12 @@
         text += &format!("  misses: {:?}\n", run.misses);
     }
     for fault in first.around_faults.keys() {
-        let [before, during, after] =
-            [0, 1, 2].map(|at| 100.0 * report.spread_of(|run| run.around_faults[fault][at]).median);
+        let [before, during, after] = [0, 1, 2].map(|phase| {
+            100.0
+                * report
+                    .spread_of(|run| run.around_faults[fault][phase])
+                    .median
+        });
         text += &format!(
             "  around {fault:<20} before {before:>6.2}% during {during:>6.2}% after {after:>6.2}%\n"
         );
--- a/crates/bench/src/run.rs
+++ b/crates/bench/src/run.rs
@@ -1,4 +1,7 @@
-//! One run of a scenario: a fleet, arrivals, faults, and what came of it.
+//! Runs a scenario once.
+//!
+//! Starts a fleet, sends the arrivals while faults are injected, checks the promises, and
+//! returns the report.
 
 use std::time::{Duration, Instant};
 
@@ -21,11 +24,10 @@
 use crate::scenario::Scenario;
 use crate::soak::SoakError;
 
-/// One event of a stand-in's stream stands for this many tokens: the machine
-/// that runs the bench could not carry them one by one.
+/// Tokens that one event of a stand-in's stream represents, to limit the number of events.
 const TOKENS_PER_EVENT: u32 = 8;
 
-/// Why a run does not come about.
+/// Why a command failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum BenchError {
@@ -41,11 +43,11 @@
     Usage { message: String },
 }
 
-/// What a run needs besides its scenario.
+/// Parameters of a run that are not part of its scenario.
 #[derive(Debug, Clone, Copy)]
 pub struct RunPlan {
     pub switches: Switches,
-    /// Requests a second that the fleet's targets can serve.
+    /// Requests per second that the fleet's targets can serve.
     pub capacity: f64,
     pub seconds: f64,
     pub seed: u64,
@@ -64,7 +66,7 @@
     scenario
 }
 
-/// Starts a fleet as scenarios want it.
+/// Starts the fleet of a scenario, without its faults.
 pub async fn start_fleet(scenario: &Scenario, plan: &RunPlan) -> Result<LocalFleet, BenchError> {
     let files = read_directory(&scenario.deployment).context(ReadSnafu)?;
     let options = LocalOptions {
@@ -79,7 +81,7 @@
         },
         ..LocalOptions::default()
     };
-    LocalFleet::start(&fewer_tokens(&files), options)
+    LocalFleet::start(&tokens_to_events(&files), options)
         .await
         .context(StartSnafu)
 }
@@ -97,18 +99,18 @@
     }
 }
 
-/// The files with token counts in stream events instead of tokens.
-fn fewer_tokens(files: &[SourceFile]) -> Vec<SourceFile> {
+/// Converts the token counts of configuration files to stream events.
+fn tokens_to_events(files: &[SourceFile]) -> Vec<SourceFile> {
     files
         .iter()
         .map(|file| SourceFile {
             name: file.name.clone(),
-            text: fewer_tokens_in(&file.text).unwrap_or_else(|| file.text.clone()),
+            text: tokens_to_events_in(&file.text).unwrap_or_else(|| file.text.clone()),
         })
         .collect()
 }
 
-fn fewer_tokens_in(text: &str) -> Option<String> {
+fn tokens_to_events_in(text: &str) -> Option<String> {
     let mut ini = Ini::load_from_str(text).ok()?;
     for (_, fields) in ini.iter_mut() {
         let tokens = fields
@@ -133,8 +135,8 @@
     let arrivals = arrivals::plan(scenario, &deployment, rate, plan.seconds, plan.seed);
     let start = Instant::now();
     let end = start + Duration::from_secs_f64(plan.seconds);
-    let store_before = fleet.store.calls();
-    let busy_before = fleet.targets.target_seconds();
+    let store_calls_before = fleet.store.calls();
+    let target_seconds_before = fleet.targets.target_seconds();
     let sampler = RevisionSampler::default();
     fleet
         .running()
@@ -155,28 +157,29 @@
         }
         injection.applies
     };
-    // Targets that were given up on write down their end a moment later.
+    // Abandoned executions are logged with a short delay.
     tokio::time::sleep(Duration::from_millis(200)).await;
     let records = callers.records();
     let executions = fleet.targets.log.all();
     let promises = history::check(&deployment, &records, &executions, &sampler.revisions());
-    let store_after = fleet.store.calls();
-    let spent = fleet
+    let store_calls_after = fleet.store.calls();
+    let target_seconds = fleet
         .targets
         .target_seconds()
         .into_iter()
-        .zip(busy_before)
+        .zip(target_seconds_before)
         .map(|((service, after), (_, before))| (service, after - before))
         .collect();
     let elapsed = start.elapsed().as_secs_f64();
-    let calls = (store_after.0 - store_before.0) + (store_after.1 - store_before.1);
+    let store_calls =
+        (store_calls_after.0 - store_calls_before.0) + (store_calls_after.1 - store_calls_before.1);
     let report = RunReport::new(
         scenario,
         &deployment,
         &records,
-        spent,
+        target_seconds,
         promises,
-        calls as f64 / elapsed,
+        store_calls as f64 / elapsed,
         applies,
     );
     fleet.shut_down().await;
--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -1,4 +1,6 @@
-//! Scenario files: INI, checked like operators' files.
+//! Scenario files in INI format: the deployment, load and faults of a run.
+//!
+//! Parsing collects every fault of the file before it fails.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -7,27 +9,27 @@
 use hollowsail_config::reader::{FaultList, Section};
 use hollowsail_config::SourceFile;
 
-/// What is sent, to what, and what goes wrong.
+/// A deployment with its load and faults.
 #[derive(Debug, Clone)]
 pub struct Scenario {
     pub name: String,
-    /// Directory of operators' files.
+    /// Directory of the deployment's configuration files.
     pub deployment: PathBuf,
     pub entries: usize,
-    /// Share of the capacity that the tool finds.
+    /// Request rate as a share of the measured capacity.
     pub load: f64,
-    /// Share of requests under a ticket that are sent to two entries at once.
+    /// Share of requests under a ticket that are sent to two entries at the same time.
     pub duplicates: f64,
-    /// Faults drawn from the run's seed, besides those named.
+    /// Number of faults drawn from the run's seed, in addition to `faults`.
     pub drawn_faults: usize,
-    /// Weight of each pipeline; missing ones are not called.
+    /// Weight of each pipeline in the arrivals; absent pipelines are not called.
     pub mix: BTreeMap<String, f64>,
-    /// Weight of each organisation in the arrivals; all equal when empty.
+    /// Weight of each organisation in the arrivals; equal if empty.
     pub shares: BTreeMap<String, f64>,
     pub faults: Vec<FaultPlan>,
 }
 
-/// One fault in time.
+/// A fault with its time span.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FaultPlan {
     pub name: String,
@@ -36,64 +38,40 @@
     pub for_ms: u64,
 }
 
-/// What goes wrong.
+/// Kinds of fault. `targets` is a prefix of target names.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FaultKind {
-    /// Arrivals are multiplied.
-    Burst {
-        factor: f64,
-    },
-    /// One organisation's arrivals are multiplied.
-    Flood {
-        organisation: String,
-        factor: f64,
-    },
-    /// Targets whose name begins with this take a multiple of their time.
-    Slow {
-        targets: String,
-        factor: f64,
-    },
-    /// They accept calls and never answer.
-    Hang {
-        targets: String,
-    },
-    /// They answer at once with an error that is not declared final.
-    Errors {
-        targets: String,
-    },
-    /// They say that they are leaving.
-    Leaving {
-        targets: String,
-    },
-    /// They cut their answers.
-    Cut {
-        targets: String,
-    },
-    /// They report a load of zero whatever they hold.
-    FrozenLoad {
-        targets: String,
-    },
+    /// Multiplies all arrivals.
+    Burst { factor: f64 },
+    /// Multiplies one organisation's arrivals.
+    Flood { organisation: String, factor: f64 },
+    /// Targets take a multiple of their time.
+    Slow { targets: String, factor: f64 },
+    /// Targets accept calls and never answer.
+    Hang { targets: String },
+    /// Targets answer at once with an error that is not declared final.
+    Errors { targets: String },
+    /// Targets report that they are draining.
+    Leaving { targets: String },
+    /// Targets truncate their answers.
+    Cut { targets: String },
+    /// Targets always report a load of zero.
+    FrozenLoad { targets: String },
+    /// The store answers no requests.
     StoreDown,
-    StoreLosesAnswers {
-        share: f64,
-    },
-    /// An entry dies; another takes its place when the fault ends.
-    EntryKilled {
-        place: usize,
-    },
-    /// Every entry is stopped and replaced, one after the other.
+    /// The store executes requests but drops a share of its answers.
+    StoreLosesAnswers { share: f64 },
+    /// An entry is killed; a new one replaces it at the end of the fault.
+    EntryKilled { place: usize },
+    /// All entries are stopped and replaced, one after the other.
     RollingRestart,
-    /// Two operators apply at once, at two entries, again and again.
-    RacingApplies {
-        every_ms: u64,
-    },
-    /// All targets of a hall hang and its entries die.
-    HallLost {
-        hall: String,
-    },
+    /// Two operators apply at the same time at two entries, repeatedly.
+    RacingApplies { every_ms: u64 },
+    /// All targets of a hall hang and its entries are killed.
+    HallLost { hall: String },
 }
 
-/// Reads a file that the bench is given; one that can't be read is a fault.
+/// Reads a scenario or site file; reports an unreadable file as a fault.
 pub(crate) fn read_source(path: &Path) -> Result<SourceFile, Faults> {
     let name = path.display().to_string();
     match std::fs::read_to_string(path) {
@@ -108,12 +86,12 @@
 }
 
 impl Scenario {
-    /// Reads a scenario; every fault of the file is named.
+    /// Reads a scenario file; the error lists every fault in it.
     pub fn read(path: &Path) -> Result<Scenario, Faults> {
         Scenario::parse(&read_source(path)?)
     }
 
-    /// Reads a scenario's text.
+    /// Parses a scenario; the error lists every fault in it.
     pub fn parse(source: &SourceFile) -> Result<Scenario, Faults> {
         let ini = source.parse().map_err(|fault| Faults(vec![fault]))?;
         let index = source.index();
@@ -130,10 +108,10 @@
             shares: BTreeMap::new(),
             faults: Vec::new(),
         };
-        let head_fields = ini.section(Some("scenario")).unwrap_or(&empty);
-        let head = Section::new(&source.name, "scenario", head_fields, &index, &faults);
-        read_head(&mut scenario, &head);
-        head.finish();
+        let main_fields = ini.section(Some("scenario")).unwrap_or(&empty);
+        let main = Section::new(&source.name, "scenario", main_fields, &index, &faults);
+        read_main(&mut scenario, &main);
+        main.finish();
         for (name, fields) in ini.iter() {
             let Some(name) = name.filter(|name| *name != "scenario") else {
                 continue;
@@ -160,7 +138,7 @@
         .map_or(name.to_string(), |stem| stem.to_string_lossy().into())
 }
 
-fn read_head(scenario: &mut Scenario, section: &Section<'_>) {
+fn read_main(scenario: &mut Scenario, section: &Section<'_>) {
     scenario.deployment = PathBuf::from(section.required("deployment"));
     scenario.entries = section.number("entries", 3, 1..=64);
     scenario.load = section.number("load", 0.6, 0.01..=10.0);
--- a/crates/bench/tests/suite/arrivals.rs
+++ b/crates/bench/tests/suite/arrivals.rs
@@ -1,4 +1,4 @@
-//! Arrivals follow from the seed alone.
+//! Planned arrivals: determined by the seed, permitted, and multiplied by faults.
 
 use std::collections::BTreeMap;
 
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn one_seed_gives_one_plan_and_another_seed_another() {
+fn plan_depends_on_the_seed_alone() {
     let deployment = crate::accra();
     let scenario = scenario(Vec::new());
     let one = plan(&scenario, &deployment, 100.0, 10.0, 1);
@@ -39,42 +39,42 @@
 }
 
 #[test]
-fn organisations_call_only_what_they_may() {
+fn only_permitted_pipelines_are_called() {
     let deployment = crate::accra();
     for arrival in plan(&scenario(Vec::new()), &deployment, 200.0, 10.0, 1) {
         let org = deployment
             .find_organisation(&arrival.org)
-            .expect("it is there");
+            .expect("the organisation is configured");
         assert!(deployment.may_call(org, arrival.pipeline));
     }
 }
 
 #[test]
-fn a_burst_and_a_flood_multiply_what_they_should() {
+fn faults_multiply_the_affected_arrivals() {
     let deployment = crate::accra();
     let flood = FaultKind::Flood {
         organisation: "lorry-parks".into(),
         factor: 10.0,
     };
-    for (kind, who) in [
+    for (kind, affected) in [
         (FaultKind::Burst { factor: 3.0 }, None),
         (flood, Some("lorry-parks")),
     ] {
-        let factor = if who.is_some() { 10.0 } else { 3.0 };
+        let factor = if affected.is_some() { 10.0 } else { 3.0 };
         let scenario = scenario(vec![fault(kind)]);
         let arrivals = plan(&scenario, &deployment, 100.0, 20.0, 1);
         let count = |from: u64, to: u64| {
             let within = |ms: u64| (from..to).contains(&ms);
             arrivals
                 .iter()
-                .filter(|a| who.is_none_or(|who| a.org == who))
+                .filter(|a| affected.is_none_or(|org| a.org == org))
                 .filter(|a| within(a.at.as_millis() as u64))
                 .count() as f64
         };
         let ratio = count(10_000, 20_000) / count(0, 10_000);
         assert!(
             (0.7 * factor..1.3 * factor).contains(&ratio),
-            "{who:?}: {ratio}"
+            "{affected:?}: {ratio}"
         );
     }
 }
--- a/crates/bench/tests/suite/chaos.rs
+++ b/crates/bench/tests/suite/chaos.rs
@@ -1,4 +1,4 @@
-//! Short concurrent runs with faults drawn from seeds, and their histories.
+//! Random faults: how they are drawn, and the promises under them in short runs.
 
 use std::collections::HashSet;
 use std::path::Path;
@@ -9,7 +9,7 @@
 use hollowsail_bench::scenario::Scenario;
 
 #[test]
-fn a_seed_draws_the_same_faults_and_many_kinds_come() {
+fn same_seed_draws_same_faults_of_all_kinds() {
     let deployment = crate::accra();
     let drawn = draw(200, 1, 10.0, 3, &deployment);
     assert_eq!(drawn, draw(200, 1, 10.0, 3, &deployment));
@@ -21,16 +21,16 @@
     assert_eq!(kinds.len(), 9);
 }
 
-/// Slow machines serve less of the load; the promises hold all the same.
+/// Checks promises only; attainment depends on the speed of the machine.
 #[actix_rt::test]
-async fn no_promise_is_broken_while_drawn_faults_overlap() {
+async fn overlapping_faults_break_no_promise() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let path = root.join("scenarios/chaos.ini");
     let mut scenario = Scenario::read(&path).unwrap_or_else(|faults| panic!("{faults}"));
     scenario.deployment = root.join(&scenario.deployment);
     for seed in 1..=2 {
         let plan = RunPlan {
-            switches: policy::switches(policy::OWN).expect("it is there"),
+            switches: policy::switches(policy::OWN).expect("the policy exists"),
             capacity: 300.0,
             seconds: 4.0,
             seed,
--- a/crates/bench/tests/suite/day.rs
+++ b/crates/bench/tests/suite/day.rs
@@ -1,5 +1,5 @@
-//! The emulated day: the same for the same seed, every caller answered once, and
-//! mechanisms that matter do.
+//! The simulated day: determined by the seed, each request counted once, and policies ranked
+//! as expected.
 
 use std::path::PathBuf;
 
@@ -8,78 +8,78 @@
 
 fn shipped(name: &str) -> DayModel {
     let root = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("days");
-    DayModel::read(&root.join(name)).expect("a shipped day is right")
+    DayModel::read(&root.join(name)).expect("a shipped day is valid")
 }
 
 fn play(day: &DayModel, policy: &str, seed: u64) -> DayReport {
     let drawn = draw_requests(day, seed);
-    let named = DayPolicy::named(policy).expect("there is one");
+    let named = DayPolicy::named(policy).expect("the policy exists");
     world::play(day, &drawn, policy, named, seed)
 }
 
 #[test]
-fn the_same_seed_gives_the_same_day() {
+fn same_seed_gives_same_day() {
     let day = shipped("accra.ini");
     assert_eq!(play(&day, "hollowsail", 3), play(&day, "hollowsail", 3));
     assert_ne!(play(&day, "hollowsail", 3), play(&day, "hollowsail", 4));
 }
 
 #[test]
-fn every_caller_is_counted_once_whatever_the_policy() {
+fn every_policy_counts_each_request_once() {
     let mut day = shipped("accra.ini");
     day.seconds = 12.0;
     day.rate *= 2.0;
-    let asked = draw_requests(&day, 1).len();
+    let drawn = draw_requests(&day, 1).len();
     for policy in DayPolicy::names() {
         let report = play(&day, &policy, 1);
         let counted: u32 = report.kinds.iter().map(|kind| kind.asked).sum();
-        assert_eq!(counted as usize, asked, "{policy}");
+        assert_eq!(counted as usize, drawn, "{policy}");
         for kind in &report.kinds {
-            let ends = kind.in_time + kind.late + kind.refused + kind.left;
-            assert_eq!(ends, kind.asked, "{policy}, {}", kind.name);
+            let total = kind.in_time + kind.late + kind.refused + kind.left;
+            assert_eq!(total, kind.asked, "{policy}, {}", kind.name);
         }
     }
 }
 
-/// All entries are gone for 1.7 s. What was under way then is lost, and those who ask
-/// meanwhile are late; a second after it nearly all are in time again.
+/// All entries are down for 1.7 s: requests in flight are lost, requests that arrive meanwhile
+/// are late, and later ones are in time again.
 #[test]
-fn a_whole_fleet_that_starts_again_loses_what_was_under_way_and_little_else() {
+fn fleet_restart_loses_only_requests_in_flight() {
     let mut day = shipped("quebec-large.ini");
     day.seconds = 16.0;
-    let asked = draw_requests(&day, 1).len();
+    let drawn = draw_requests(&day, 1).len();
     let report = play(&day, "hollowsail-without-forecast", 1);
     let counted: u32 = report.kinds.iter().map(|kind| kind.asked).sum();
-    assert_eq!(counted as usize, asked);
+    assert_eq!(counted as usize, drawn);
     let lost: u32 = report.kinds.iter().map(|kind| kind.left).sum();
     let late: u32 = report.kinds.iter().map(|kind| kind.late).sum();
-    let a_second = day.rate as u32;
-    assert!((a_second / 4..a_second).contains(&lost), "{lost}");
-    assert!(late < 2 * a_second, "{late}");
+    let per_second = day.rate as u32;
+    assert!((per_second / 4..per_second).contains(&lost), "{lost}");
+    assert!(late < 2 * per_second, "{late}");
 }
 
 #[test]
-fn one_queue_for_all_entries_beats_a_queue_each_and_nothing_beats_the_bound() {
+fn shared_queue_wins_and_stays_below_the_bound() {
     for name in ["accra.ini", "quebec.ini"] {
         let mut day = shipped(name);
         day.seconds = 15.0;
-        let best = bound::credit(&day, &draw_requests(&day, 2));
+        let bound = bound::credit(&day, &draw_requests(&day, 2));
         let own = play(&day, "hollowsail", 2).credit();
-        let each = play(&day, "hollowsail-without-shared-queues", 2).credit();
-        assert!(each + 0.2 < own, "{name}: {each} against {own}");
-        assert!(own <= best + 0.01, "{name}: {own} above the bound {best}");
+        let per_entry = play(&day, "hollowsail-without-shared-queues", 2).credit();
+        assert!(per_entry + 0.2 < own, "{name}: {per_entry} against {own}");
+        assert!(own <= bound + 0.01, "{name}: {own} above the bound {bound}");
     }
 }
 
 #[test]
-fn a_faulty_scenario_names_every_place() {
+fn invalid_day_reports_every_fault() {
     let text = "[day]\nsecond = 3\n[pool.a]\nworkers = 0\n[stage.none.0]\npool = b\n\
                 [trouble.x]\nwhat = flood\n";
     let source = SourceFile {
         name: "day.ini".into(),
         text: text.into(),
     };
-    let faults = DayModel::parse(&source).expect_err("nothing there is right");
+    let faults = DayModel::parse(&source).expect_err("the scenario is invalid");
     expect_test::expect![[r#"
         day.ini:2: day.second: is not a field here; known fields: entries, halls, requests_per_second, seconds
         day.ini:4: pool.a.workers: is not a number from 1 to 10000
--- a/crates/bench/tests/suite/groups.rs
+++ b/crates/bench/tests/suite/groups.rs
@@ -1,4 +1,4 @@
-//! What engines read again as others come and go, by how they are split into groups.
+//! Prefix tokens recomputed as engines come and go, by how engines are split into groups.
 
 use std::collections::HashMap;
 
@@ -7,45 +7,45 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Engines at the start; one goes and one comes after every so many prompts.
+/// Number of engines; one is replaced after every `PROMPTS_PER_REPLACEMENT` prompts.
 const ENGINES: usize = 140;
-const PROMPTS_BETWEEN: usize = 60;
+const PROMPTS_PER_REPLACEMENT: usize = 60;
 const PROMPTS: usize = 12_000;
-/// Shared parts that the prompts ask for, each of so many tokens.
-const PARTS: usize = 750;
-const PART_TOKENS: u64 = 13_000;
-/// Between two prompts, and until one has ended, in milliseconds.
-const EVERY_MS: u64 = 4;
+/// Number and length of the shared prefixes.
+const PREFIXES: usize = 750;
+const PREFIX_TOKENS: u64 = 13_000;
+/// Interval between prompts and duration of a run, in milliseconds.
+const INTERVAL_MS: u64 = 4;
 const RUN_MS: u64 = 800;
 
-/// The desk that an engine or a part belongs to, among all engines there are.
+/// Assigns an engine or a prefix to the group of a scheduler, given all engines.
 type Split = fn(engines: &[String], name: &str) -> String;
 
-/// By position in the sorted list, modulo the count of groups, which the name tells:
-/// what stood before.
+/// By position in the sorted list modulo the number of groups: membership changes whenever
+/// an engine is added or removed.
 fn by_position(engines: &[String], name: &str) -> String {
-    let of = groups::count(engines.len(), 32);
-    let at = match engines.binary_search_by(|engine| engine.as_str().cmp(name)) {
-        Ok(position) => position % of,
-        Err(_) => (rendezvous::score(name, "engines") % of as u64) as usize,
+    let group_count = groups::count(engines.len(), 32);
+    let group = match engines.binary_search_by(|engine| engine.as_str().cmp(name)) {
+        Ok(position) => position % group_count,
+        Err(_) => (rendezvous::score(name, "engines") % group_count as u64) as usize,
     };
-    format!("{at}.{of}")
+    format!("{group}.{group_count}")
 }
 
-/// By rendezvous hashing, in groups of 32.
-fn for_life(engines: &[String], name: &str) -> String {
+/// By rendezvous hashing into groups of 32 engines.
+fn by_rendezvous(engines: &[String], name: &str) -> String {
     groups::place_of(name, groups::count(engines.len(), 32)).to_string()
 }
 
-/// One desk for all.
-fn one(engines: &[String], name: &str) -> String {
+/// One group of all engines.
+fn single_group(engines: &[String], name: &str) -> String {
     groups::place_of(name, groups::count(engines.len(), 512)).to_string()
 }
 
-fn desk_engines(engines: &[String], split: Split, desk: &str) -> Vec<DeskEngine<String>> {
+fn group_engines(engines: &[String], split: Split, group: &str) -> Vec<DeskEngine<String>> {
     let own = engines
         .iter()
-        .filter(|engine| split(engines, engine) == desk);
+        .filter(|engine| split(engines, engine) == group);
     let own = own.map(|engine| DeskEngine {
         key: engine.clone(),
         slots: 64,
@@ -57,50 +57,51 @@
     own.collect()
 }
 
-/// Tokens of shared parts that an engine read though another one there kept them.
-fn read_again(split: Split) -> u64 {
+/// Prefix tokens prefilled on one engine while another one had them cached.
+fn recomputed_tokens(split: Split) -> u64 {
     let mut rng = SmallRng::seed_from_u64(7);
     let mut engines: Vec<String> = (0..ENGINES)
         .map(|_| format!("i-{:08x}", rng.random::<u32>()))
         .collect();
     engines.sort();
-    let mut desks: HashMap<String, EngineDesk<String>> = HashMap::new();
-    let mut kept: HashMap<usize, Vec<String>> = HashMap::new();
+    let mut schedulers: HashMap<String, EngineDesk<String>> = HashMap::new();
+    let mut cached: HashMap<usize, Vec<String>> = HashMap::new();
     let mut running = std::collections::VecDeque::new();
     let mut tokens = 0;
     for prompt in 0..PROMPTS {
-        let now = prompt as u64 * EVERY_MS;
+        let now = prompt as u64 * INTERVAL_MS;
         while running.front().is_some_and(|(ends, _, _)| *ends <= now) {
-            let Some((_, desk, key)) = running.pop_front() else {
+            let Some((_, group, key)) = running.pop_front() else {
                 break;
             };
-            let desk: &mut EngineDesk<String> = desks.entry(desk).or_default();
-            desk.prompt_read(key, now);
-            desk.ended(key, PlacementEnd::Whole, now);
+            let scheduler: &mut EngineDesk<String> = schedulers.entry(group).or_default();
+            scheduler.prompt_read(key, now);
+            scheduler.ended(key, PlacementEnd::Whole, now);
         }
-        if prompt % PROMPTS_BETWEEN == 0 {
-            let gone = engines.remove(rng.random_range(0..engines.len()));
-            kept.values_mut()
-                .for_each(|at| at.retain(|engine| *engine != gone));
+        if prompt % PROMPTS_PER_REPLACEMENT == 0 {
+            let removed = engines.remove(rng.random_range(0..engines.len()));
+            cached
+                .values_mut()
+                .for_each(|holders| holders.retain(|engine| *engine != removed));
             engines.push(format!("i-{:08x}", rng.random::<u32>()));
             engines.sort();
-            for (name, desk) in &mut desks {
-                desk.set_engines(now, &desk_engines(&engines, split, name));
+            for (group, scheduler) in &mut schedulers {
+                scheduler.set_engines(now, &group_engines(&engines, split, group));
             }
         }
-        let part = rng.random_range(0..PARTS);
-        let name = format!("part-{part}");
-        let desk_name = split(&engines, &name);
-        let desk = desks.entry(desk_name.clone()).or_insert_with(|| {
-            let mut desk = EngineDesk::default();
-            desk.set_engines(now, &desk_engines(&engines, split, &desk_name));
-            desk
+        let prefix = rng.random_range(0..PREFIXES);
+        let name = format!("part-{prefix}");
+        let group = split(&engines, &name);
+        let scheduler = schedulers.entry(group.clone()).or_insert_with(|| {
+            let mut scheduler = EngineDesk::default();
+            scheduler.set_engines(now, &group_engines(&engines, split, &group));
+            scheduler
         });
         let demand = Demand {
             from_hall: "hall-a".to_string(),
             part: name.clone(),
-            shared_tokens: PART_TOKENS,
-            prompt_tokens: PART_TOKENS + 3_700,
+            shared_tokens: PREFIX_TOKENS,
+            prompt_tokens: PREFIX_TOKENS + 3_700,
             avoid: Vec::new(),
             versions: Versions::All,
             halls: None,
@@ -109,26 +110,26 @@
             urgency: 0,
             waits_ms: 0,
         };
-        let placed = desk.place(now, &demand, |engine| rendezvous::score(&name, engine));
-        let (key, engine) = placed.expect("there are engines");
-        let at = kept.entry(part).or_default();
-        if !at.contains(&engine) {
-            tokens += if at.is_empty() { 0 } else { PART_TOKENS };
-            at.push(engine);
+        let placed = scheduler.place(now, &demand, |engine| rendezvous::score(&name, engine));
+        let (key, engine) = placed.expect("the group has engines");
+        let holders = cached.entry(prefix).or_default();
+        if !holders.contains(&engine) {
+            tokens += if holders.is_empty() { 0 } else { PREFIX_TOKENS };
+            holders.push(engine);
         }
-        running.push_back((now + RUN_MS, desk_name, key));
+        running.push_back((now + RUN_MS, group, key));
     }
     tokens
 }
 
-/// Million tokens that are read again: 66 by position, 4.4 for life, 3.7 at one desk.
+/// Guards against groups that change whenever engines come and go, which defeats prefix caching.
 #[test]
-fn engines_that_keep_their_group_read_less_again() {
-    let (position, life, one) = (
-        read_again(by_position),
-        read_again(for_life),
-        read_again(one),
+fn stable_groups_recompute_fewer_tokens() {
+    let (position, rendezvous, single) = (
+        recomputed_tokens(by_position),
+        recomputed_tokens(by_rendezvous),
+        recomputed_tokens(single_group),
     );
-    assert!(life * 2 < position, "{life} and {position}");
-    assert!(one <= life, "{one} and {life}");
+    assert!(rendezvous * 2 < position, "{rendezvous} and {position}");
+    assert!(single <= rendezvous, "{single} and {rendezvous}");
 }
--- a/crates/bench/tests/suite/history.rs
+++ b/crates/bench/tests/suite/history.rs
@@ -1,4 +1,4 @@
-//! The history check notices each kind of broken promise.
+//! The history check detects each kind of broken promise.
 
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
             org: "gate-apps".into(),
             pipeline: crate::accra()
                 .find_pipeline("payment-confirmation")
-                .expect("one"),
+                .expect("the pipeline is configured"),
             session: "s".into(),
             duplicate: false,
         },
@@ -73,7 +73,7 @@
 const NOT_RUN: [StageStatus; 3] = [StageStatus::NotRun; 3];
 
 #[test]
-fn an_honest_history_breaks_nothing() {
+fn consistent_history_breaks_no_promise() {
     let refused = record(Err(ErrorKind::CannotFinish), NOT_RUN);
     assert!(broken(&[refused], &[], &[vec![1, 1, 2]]).is_empty());
     let unknown = [StageStatus::Ran, StageStatus::Ran, StageStatus::Unknown];
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn each_lie_is_noticed() {
+fn each_violation_is_detected() {
     let whole = record(Ok(json!({ "done": "another's" })), RAN);
     assert_eq!(
         broken(&[whole], &ran(), &[]),
@@ -107,7 +107,11 @@
     let found = broken(&[], &outside, &[]);
     assert_eq!(found, ["data stays in permitted halls"]);
     let mut foreign = unknown;
-    foreign.answer.as_mut().expect("one").request = "q".into();
+    foreign
+        .answer
+        .as_mut()
+        .expect("the record has an answer")
+        .request = "q".into();
     assert_eq!(
         broken(&[foreign], &ran(), &[]),
         ["an answer is its request's own"]
@@ -119,7 +123,7 @@
 }
 
 #[test]
-fn two_answers_under_one_ticket_are_noticed() {
+fn two_answers_under_one_ticket_are_detected() {
     let one = record(Ok(json!({ "done": "a" })), RAN);
     let mut other = record(Ok(json!({ "done": "b" })), RAN);
     other.second = true;
--- a/crates/bench/tests/suite/main.rs
+++ b/crates/bench/tests/suite/main.rs
@@ -1,4 +1,4 @@
-//! The bench's own parts: scenarios, arrivals, and the history check.
+//! Tests of scenarios, arrivals, fault injection, the history check and simulated days.
 
 mod arrivals;
 mod chaos;
@@ -13,8 +13,8 @@
 use hollowsail_config::{check, Deployment};
 use hollowsail_local::read_directory;
 
-/// Accra's example.
+/// The deployment of `examples/accra`.
 fn accra() -> Deployment {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/accra");
-    check(&read_directory(&path).expect("it ships")).expect("it is right")
+    check(&read_directory(&path).expect("the example exists")).expect("the example is valid")
 }
--- a/crates/bench/tests/suite/scenario.rs
+++ b/crates/bench/tests/suite/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenario files are checked whole.
+//! Scenario files: the shipped ones are valid, and invalid ones report every fault.
 
 use std::path::Path;
 
@@ -8,14 +8,15 @@
 use hollowsail_local::read_directory;
 
 #[test]
-fn every_shipped_scenario_is_right_and_names_what_its_deployment_has() {
+fn shipped_scenarios_match_their_deployments() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let mut count = 0;
-    for entry in std::fs::read_dir(root.join("scenarios")).expect("they ship") {
-        let path = entry.expect("a file").path();
+    for entry in std::fs::read_dir(root.join("scenarios")).expect("scenarios exist") {
+        let path = entry.expect("the entry is readable").path();
         let scenario = Scenario::read(&path).unwrap_or_else(|faults| panic!("{faults}"));
-        let files = read_directory(&root.join(&scenario.deployment)).expect("it ships");
-        let deployment = check(&files).expect("it is right");
+        let files =
+            read_directory(&root.join(&scenario.deployment)).expect("the deployment exists");
+        let deployment = check(&files).expect("the deployment is valid");
         for pipeline in scenario.mix.keys() {
             assert!(deployment.find_pipeline(pipeline).is_some(), "{pipeline}");
         }
@@ -28,14 +29,14 @@
 }
 
 #[test]
-fn a_faulty_scenario_names_every_fault() {
+fn invalid_scenario_reports_every_fault() {
     let source = SourceFile {
         name: "s.ini".into(),
         text: "[scenario]\nload = much\n[fault.a]\nkind = earthquake\n[fault.b]\nkind = slow\n\
                factor = 2\n[mixture]\n"
             .into(),
     };
-    let faults = Scenario::parse(&source).expect_err("it is faulty");
+    let faults = Scenario::parse(&source).expect_err("the scenario is invalid");
     expect![[r#"
         s.ini:1: scenario.deployment: is missing; add it to this section
         s.ini:2: scenario.load: is not a number from 0.01 to 10
