--- a/crates/bench/src/control.rs
+++ b/crates/bench/src/control.rs
@@ -26,7 +26,7 @@
     pub pipelines: usize,
 }
 
-/// Control traffic and CPU time.
+/// Cost of the control plane.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct Cost {
     /// CPU time per entry as a share of one core.
--- a/crates/bench/src/faults.rs
+++ b/crates/bench/src/faults.rs
@@ -12,7 +12,7 @@
 use crate::load::Callers;
 use crate::scenario::{FaultKind, FaultPlan};
 
-/// How long the load balancer still sends to an entry after its end.
+/// How long the load balancer still sends to an entry that has stopped.
 const BALANCER_LAG: Duration = Duration::from_millis(1000);
 
 /// A scheduled switch of a fault.
@@ -28,7 +28,7 @@
     pub sent: usize,
     pub accepted: usize,
     pub conflicts: usize,
-    /// Outcome unknown, because the store did not answer.
+    /// Neither accepted nor in conflict, for example because the store did not answer.
     pub unanswered: usize,
 }
 
