--- a/src/bin/hollowsail/commands/mod.rs
+++ b/src/bin/hollowsail/commands/mod.rs
@@ -1,4 +1,4 @@
-//! One file per subcommand.
+//! The subcommands, one module each.
 
 mod apply;
 mod call;
@@ -27,7 +27,6 @@
 }
 
 impl Command {
-    /// Runs the subcommand.
     pub async fn run(self, cx: &mut Context<'_>) -> Exit {
         match self {
             Command::Apply(arguments) => arguments.run(cx).await,
@@ -41,13 +40,12 @@
         }
     }
 
-    /// True when log lines go to standard output: a daemon on the platform has
-    /// nothing else to write there.
+    /// True when the log goes to standard output, where the gateway writes nothing else.
     pub fn logs_to_output(&self) -> bool {
         matches!(self, Command::Gateway(_))
     }
 
-    /// The daemon logs its decisions; commands for people only what is wrong.
+    /// Level without `RUST_LOG`: daemons log their decisions, other commands only errors.
     pub fn default_log_level(&self) -> &'static str {
         match self {
             Command::Entry(_) | Command::Gateway(_) => "info",
--- a/src/bin/hollowsail/main.rs
+++ b/src/bin/hollowsail/main.rs
@@ -1,4 +1,4 @@
-//! The `hollowsail` command: parses arguments and hands them to the library.
+//! The `hollowsail` command: parses arguments and runs the operation of the subcommand.
 
 mod commands;
 
@@ -18,7 +18,7 @@
 fn main() -> ExitCode {
     let arguments: Hollowsail = argh::from_env();
     let default_level = arguments.command.default_log_level();
-    start_log(default_level, arguments.command.logs_to_output());
+    init_log(default_level, arguments.command.logs_to_output());
     let mut cx = Context {
         out: &mut std::io::stdout(),
         err: &mut std::io::stderr(),
@@ -27,9 +27,8 @@
     ExitCode::from(exit.code())
 }
 
-/// Starts the log: to standard error, or to standard output without ever
-/// waiting for its reader.
-fn start_log(default_level: &str, to_output: bool) {
+/// Initialises logging to standard error, or to a standard output that never blocks.
+fn init_log(default_level: &str, to_output: bool) {
     let mut builder =
         env_logger::Builder::from_env(env_logger::Env::default().default_filter_or(default_level));
     if to_output {
@@ -37,7 +36,9 @@
             Ok(output) => {
                 builder.target(env_logger::Target::Pipe(Box::new(output)));
             }
-            Err(err) => eprintln!("warning: log lines go to standard error: {err}"),
+            Err(err) => eprintln!(
+                "warning: cannot log to standard output: {err}; logging to standard error"
+            ),
         }
     }
     builder.init();
--- a/src/context.rs
+++ b/src/context.rs
@@ -1,33 +1,33 @@
-//! What every operation gets, and what it returns.
+//! Output streams and exit status of the operations.
 
 use std::io::Write;
 
-/// Where an operation writes.
+/// Output streams of an operation.
 pub struct Context<'a> {
     pub out: &'a mut dyn Write,
     pub err: &'a mut dyn Write,
 }
 
 impl Context<'_> {
-    /// Writes a line of results.
-    pub fn say(&mut self, line: impl std::fmt::Display) {
+    /// Writes a line to the output.
+    pub fn print(&mut self, line: impl std::fmt::Display) {
         let _ = writeln!(self.out, "{line}");
     }
 
-    /// Writes a line about what went wrong.
-    pub fn complain(&mut self, line: impl std::fmt::Display) {
+    /// Writes a line to the error output.
+    pub fn print_error(&mut self, line: impl std::fmt::Display) {
         let _ = writeln!(self.err, "{line}");
     }
 }
 
-/// How an operation ended.
+/// Result of an operation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Exit {
     Success,
-    /// It ran, and the result is not what was asked for.
+    /// The operation ran without the requested result.
     Failure,
-    /// It could not run: bad arguments, unreadable files, nobody there.
-    Unusable,
+    /// The operation could not run: bad arguments, unreadable files or an unreachable entry.
+    CannotRun,
 }
 
 impl Exit {
@@ -36,7 +36,7 @@
         match self {
             Exit::Success => 0,
             Exit::Failure => 1,
-            Exit::Unusable => 2,
+            Exit::CannotRun => 2,
         }
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! Operations behind the `hollowsail` command.
 //!
-//! Each subcommand parses its arguments and calls one operation here, with one
-//! [`Context`] passed down. Operations write for people through the context
-//! and return an [`Exit`]; nothing here ends the process.
+//! Each subcommand parses its arguments and calls one operation with a [`Context`].
+//! Operations print human-readable output through the context and return an
+//! [`Exit`]; none of them ends the process.
 
 pub mod context;
 pub mod ops;
--- a/src/ops/call.rs
+++ b/src/ops/call.rs
@@ -1,4 +1,4 @@
-//! Calls a pipeline, as a caller would, and prints the answer.
+//! Calls a pipeline and prints the answer.
 
 use std::net::SocketAddr;
 
@@ -10,22 +10,22 @@
 
 use crate::{Context, Exit};
 
-/// Longest output that is printed whole.
-const SHOWN_OUTPUT: usize = 400;
+/// Longer outputs are truncated when printed.
+const MAX_PRINTED_CHARS: usize = 400;
 
-/// What to call.
+/// Arguments of `hollowsail call`.
 pub struct Call {
-    /// Callers' listener of an entry.
+    /// Address of an entry's callers' listener.
     pub entry: SocketAddr,
     pub pipeline: String,
     pub key: String,
     pub input: String,
     pub deadline_ms: Option<u64>,
-    /// Get a ticket first and present it.
+    /// Get a ticket first, so that the request runs at most once.
     pub once: bool,
 }
 
-/// Calls and prints.
+/// Calls the pipeline and prints the answer.
 pub async fn run(cx: &mut Context<'_>, call: &Call) -> Exit {
     let caller = Caller::default();
     let mut request = Request::new(&call.pipeline, &call.key, Value::from(call.input.as_str()));
@@ -34,21 +34,21 @@
         match caller.tickets(call.entry, &call.key, 1).await {
             Ok(mut tickets) => request.once = tickets.pop().map_or(Once::No, Once::Ticket),
             Err(err) => {
-                cx.complain(format_args!(
+                cx.print_error(format_args!(
                     "error: no ticket: {err}; check --entry and --key"
                 ));
-                return Exit::Unusable;
+                return Exit::CannotRun;
             }
         }
     }
     match caller.call(call.entry, &request).await {
-        Ok(answered) => {
-            print(cx, &call.pipeline, &answered.body);
-            exit_of(&answered.body)
+        Ok(response) => {
+            print(cx, &call.pipeline, &response.body);
+            exit_of(&response.body)
         }
         Err(err) => {
-            cx.complain(format_args!("error: {err}; check --entry"));
-            Exit::Unusable
+            cx.print_error(format_args!("error: {err}; check --entry"));
+            Exit::CannotRun
         }
     }
 }
@@ -60,16 +60,16 @@
     }
 }
 
-/// Writes an answer for people.
+/// Prints an answer in human-readable form.
 pub fn print(cx: &mut Context<'_>, pipeline: &str, answer: &AnswerBody) {
     let outcome = match answer.outcome {
         Outcome::Whole => "whole",
         Outcome::NotRun => "not run",
         Outcome::Unknown => "unknown",
     };
-    cx.say(format_args!("{pipeline}: {outcome}"));
+    cx.print(format_args!("{pipeline}: {outcome}"));
     if let (Some(kind), Some(message)) = (answer.kind, &answer.message) {
-        cx.say(format_args!("  {}: {message}", kind.answer().name));
+        cx.print(format_args!("  {}: {message}", kind.answer().name));
     }
     for stage in &answer.stages {
         let status = match stage.status {
@@ -77,20 +77,20 @@
             StageStatus::NotRun => "not run",
             StageStatus::Unknown => "unknown",
         };
-        cx.say(format_args!(
+        cx.print(format_args!(
             "  {:<10} {status}, {} attempt(s), {} ms",
             stage.stage, stage.attempts, stage.ms
         ));
     }
     if let Some(output) = &answer.output {
-        cx.say(format_args!("  output: {}", shorten(&output.to_string())));
+        cx.print(format_args!("  output: {}", truncate(&output.to_string())));
     }
 }
 
-fn shorten(text: &str) -> String {
-    if text.chars().count() <= SHOWN_OUTPUT {
+fn truncate(text: &str) -> String {
+    if text.chars().count() <= MAX_PRINTED_CHARS {
         return text.to_string();
     }
-    let shown: String = text.chars().take(SHOWN_OUTPUT).collect();
-    format!("{shown}... ({} bytes)", text.len())
+    let prefix: String = text.chars().take(MAX_PRINTED_CHARS).collect();
+    format!("{prefix}... ({} bytes)", text.len())
 }
--- a/src/ops/check.rs
+++ b/src/ops/check.rs
@@ -14,14 +14,14 @@
         match read_file(path) {
             Ok(file) => files.push(file),
             Err(err) => {
-                cx.complain(format_args!("error: {err}"));
-                return Exit::Unusable;
+                cx.print_error(format_args!("error: {err}"));
+                return Exit::CannotRun;
             }
         }
     }
     match check(&files) {
         Ok(deployment) => {
-            cx.say(format_args!(
+            cx.print(format_args!(
                 "{}: {} halls, {} services, {} targets, {} models, {} pipelines, {} organisations: ok",
                 deployment.name,
                 deployment.halls.len(),
@@ -34,7 +34,7 @@
             Exit::Success
         }
         Err(faults) => {
-            cx.complain(faults);
+            cx.print_error(faults);
             Exit::Failure
         }
     }
--- a/src/ops/drain.rs
+++ b/src/ops/drain.rs
@@ -1,4 +1,4 @@
-//! Says that a target is leaving.
+//! Marks a target as draining.
 
 use std::time::Duration;
 
@@ -8,20 +8,20 @@
 use crate::ops::operator::{Operator, OperatorError};
 use crate::{Context, Exit};
 
-/// Longest wait for the answer.
-const WAIT: Duration = Duration::from_secs(5);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Tells one entry; it tells the others.
+/// Sends the drain to one entry, which notifies the others.
 pub async fn run(cx: &mut Context<'_>, operator: &Operator, host: &str) -> Exit {
     let request = DrainRequest { host: host.into() };
-    let answer: Result<Value, OperatorError> = operator.post("/v1/drain", &request, WAIT).await;
+    let answer: Result<Value, OperatorError> =
+        operator.post("/v1/drain", &request, RESPONSE_TIMEOUT).await;
     match answer {
         Ok(_) => {
-            cx.say(format_args!("{host} gets no new work"));
+            cx.print(format_args!("{host} gets no new work"));
             Exit::Success
         }
         Err(err) => {
-            cx.complain(format_args!("error: {err}"));
+            cx.print_error(format_args!("error: {err}"));
             Exit::Failure
         }
     }
--- a/src/ops/entry.rs
+++ b/src/ops/entry.rs
@@ -1,4 +1,4 @@
-//! Runs the entry daemon until it is told to stop.
+//! Runs the entry daemon until SIGTERM or SIGINT.
 
 use std::path::Path;
 
@@ -9,30 +9,30 @@
 use crate::ops::signals;
 use crate::{Context, Exit};
 
-/// Reads settings, serves, and on SIGTERM or SIGINT makes a planned stop.
+/// Serves with the settings of a file; SIGTERM or SIGINT begins a planned stop.
 pub async fn run(cx: &mut Context<'_>, settings_path: &Path) -> Exit {
     let source = match read_file(settings_path) {
         Ok(source) => source,
         Err(err) => {
-            cx.complain(format_args!("error: {err}"));
-            return Exit::Unusable;
+            cx.print_error(format_args!("error: {err}"));
+            return Exit::CannotRun;
         }
     };
     let settings = match Settings::read(&source) {
         Ok(settings) => settings,
         Err(faults) => {
-            cx.complain(faults);
-            return Exit::Unusable;
+            cx.print_error(faults);
+            return Exit::CannotRun;
         }
     };
     let running = match start(settings, StartOptions::default()).await {
         Ok(running) => running,
         Err(err) => {
-            cx.complain(format_args!("error: {err}"));
-            return Exit::Unusable;
+            cx.print_error(format_args!("error: {err}"));
+            return Exit::CannotRun;
         }
     };
-    cx.say(format_args!(
+    cx.print(format_args!(
         "callers={} peers={} operators={}",
         running.callers, running.peers, running.operators
     ));
--- a/src/ops/local.rs
+++ b/src/ops/local.rs
@@ -11,12 +11,12 @@
 use crate::ops::call;
 use crate::{Context, Exit};
 
-/// What to run.
+/// Arguments of `hollowsail local`.
 pub struct Local {
     /// Directories of operators' files, one per deployment.
     pub deployments: Vec<PathBuf>,
     pub entries: usize,
-    /// One request per pipeline, then end.
+    /// Call every pipeline once, then exit.
     pub once: bool,
 }
 
@@ -31,15 +31,15 @@
         let files = match read_directory(directory) {
             Ok(files) => files,
             Err(err) => {
-                cx.complain(format_args!("error: {err}"));
-                return Exit::Unusable;
+                cx.print_error(format_args!("error: {err}"));
+                return Exit::CannotRun;
             }
         };
         let fleet = match LocalFleet::start(&files, options).await {
             Ok(fleet) => fleet,
             Err(err) => {
-                cx.complain(format_args!("error: {err}"));
-                return Exit::Unusable;
+                cx.print_error(format_args!("error: {err}"));
+                return Exit::CannotRun;
             }
         };
         if local.once {
@@ -47,7 +47,7 @@
                 exit = Exit::Failure;
             }
         } else {
-            explain(cx, &fleet);
+            print_usage(cx, &fleet);
             let _ = cx.out.flush();
             let _ = tokio::signal::ctrl_c().await;
         }
@@ -57,13 +57,13 @@
 }
 
 async fn call_every_pipeline(cx: &mut Context<'_>, fleet: &LocalFleet) -> bool {
-    cx.say(format_args!("== {} ==", fleet.deployment.name));
+    cx.print(format_args!("== {} ==", fleet.deployment.name));
     let caller = Caller::default();
     let callers = fleet.callers();
     let mut all_whole = true;
-    for (at, pipeline) in fleet.deployment.pipelines.iter().enumerate() {
-        let entry = callers[at % callers.len()];
-        let key = demo_key(&fleet.deployment, at);
+    for (index, pipeline) in fleet.deployment.pipelines.iter().enumerate() {
+        let entry = callers[index % callers.len()];
+        let key = demo_key(&fleet.deployment, index);
         let input = json!(format!("a first request to {}", pipeline.name));
         let mut request = Request::new(&pipeline.name, &key, input);
         if pipeline.runs_once() {
@@ -74,12 +74,12 @@
             };
         }
         match caller.call(entry, &request).await {
-            Ok(answered) => {
-                call::print(cx, &pipeline.name, &answered.body);
-                all_whole &= answered.body.outcome == Outcome::Whole;
+            Ok(response) => {
+                call::print(cx, &pipeline.name, &response.body);
+                all_whole &= response.body.outcome == Outcome::Whole;
             }
             Err(err) => {
-                cx.complain(format_args!("{}: {err}", pipeline.name));
+                cx.print_error(format_args!("{}: {err}", pipeline.name));
                 all_whole = false;
             }
         }
@@ -87,40 +87,42 @@
     all_whole
 }
 
-/// Key of an organisation that may call the pipeline at `at`.
-fn demo_key(deployment: &Deployment, at: usize) -> String {
+/// Key of an organisation that may call the pipeline at `index`.
+fn demo_key(deployment: &Deployment, index: usize) -> String {
     deployment
         .organisations
         .iter()
-        .find(|org| org.pipelines.is_empty() || org.pipelines.iter().any(|key| key.index() == at))
+        .find(|org| {
+            org.pipelines.is_empty() || org.pipelines.iter().any(|key| key.index() == index)
+        })
         .map(|org| format!("demo-{}", org.name))
         .unwrap_or_default()
 }
 
-fn explain(cx: &mut Context<'_>, fleet: &LocalFleet) {
+fn print_usage(cx: &mut Context<'_>, fleet: &LocalFleet) {
     let deployment = &fleet.deployment;
-    cx.say(format_args!(
+    cx.print(format_args!(
         "{} runs on loopback; Ctrl-C ends it",
         deployment.name
     ));
     for entry in fleet.running() {
-        cx.say(format_args!(
+        cx.print(format_args!(
             "{} in {}: callers {} operators {}",
             entry.entry.settings.name, entry.entry.settings.hall, entry.callers, entry.operators
         ));
     }
     let entry = fleet.entry(0);
-    cx.say("try:");
-    for (at, pipeline) in deployment.pipelines.iter().enumerate() {
+    cx.print("try:");
+    for (index, pipeline) in deployment.pipelines.iter().enumerate() {
         let once = if pipeline.runs_once() { " --once" } else { "" };
-        cx.say(format_args!(
+        cx.print(format_args!(
             "  hollowsail call {} --entry {} --key {}{once} --input hello",
             pipeline.name,
             entry.callers,
-            demo_key(deployment, at)
+            demo_key(deployment, index)
         ));
     }
-    cx.say(format_args!(
+    cx.print(format_args!(
         "  hollowsail status --operators {} --key {OPERATOR_KEY}",
         entry.operators
     ));
--- a/src/ops/local_platform.rs
+++ b/src/ops/local_platform.rs
@@ -1,4 +1,4 @@
-//! The users' platform on loopback with gateways before it, in one process.
+//! An emulated users' platform and its gateways on loopback, in one process.
 
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -13,25 +13,24 @@
 
 use crate::{Context, Exit};
 
-/// Longest time until all gateways take callers.
-const READY_WITHIN: Duration = Duration::from_secs(10);
-/// Times that a request is sent before it counts as unanswered: gateways learn of targets in
-/// their first moments.
-const MOST_TRIES: u32 = 20;
-/// Between two tries.
-const TRY_AGAIN: Duration = Duration::from_millis(100);
-/// What to run.
+/// Time limit for each gateway to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Attempts per request: gateways discover their targets shortly after they start.
+const MAX_ATTEMPTS: u32 = 20;
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
+
+/// Arguments of `hollowsail local --platform`.
 pub struct LocalPlatform {
     pub site: PathBuf,
     pub entries: usize,
-    /// One request per route, then end.
+    /// Call every route once, then exit.
     pub once: bool,
 }
 
-/// Why it can't be run.
+/// Why the platform or a gateway did not start.
 #[derive(Debug, Snafu)]
 enum LocalError {
-    #[snafu(display("{path}: {source}; name a site file that is there", path = path.display()))]
+    #[snafu(display("cannot read {path}: {source}; name a site file that exists", path = path.display()))]
     Read {
         path: PathBuf,
         source: std::io::Error,
@@ -40,20 +39,20 @@
     Site {
         source: hollowsail_config::fault::Faults,
     },
-    #[snafu(display("a gateway can't start: {reason}"))]
+    #[snafu(display("cannot start a gateway: {reason}"))]
     Start { reason: String },
-    #[snafu(display("{host} wasn't ready in {} s; see its log lines with RUST_LOG=info", READY_WITHIN.as_secs()))]
+    #[snafu(display("{host} was not ready within {} s; set RUST_LOG=info to see its log", READY_TIMEOUT.as_secs()))]
     NotReady { host: String },
 }
 
-/// Starts the platform and its gateways; with `once`, asks on every route and stops.
+/// Starts the platform and its gateways; with `once`, calls every route and stops.
 pub async fn run(cx: &mut Context<'_>, local: &LocalPlatform) -> Exit {
     match try_run(cx, local).await {
         Ok(true) => Exit::Success,
         Ok(false) => Exit::Failure,
         Err(err) => {
-            cx.complain(format_args!("error: {err}"));
-            Exit::Unusable
+            cx.print_error(format_args!("error: {err}"));
+            Exit::CannotRun
         }
     }
 }
@@ -68,12 +67,12 @@
         gateways.push(start_gateway(place).await?);
     }
     for place in &places {
-        until_ready(place).await?;
+        wait_until_ready(place).await?;
     }
     let all_whole = match local.once {
-        true => ask_on_every_route(cx, &site, &places).await,
+        true => call_every_route(cx, &site, &places).await,
         false => {
-            explain(cx, &site, &places);
+            print_usage(cx, &site, &places);
             let _ = cx.out.flush();
             let _ = tokio::signal::ctrl_c().await;
             true
@@ -82,7 +81,7 @@
     let stopping = gateways.into_iter().map(Running::stop);
     futures_util::future::join_all(stopping).await;
     for broken in emulator.account.broken() {
-        cx.complain(format_args!("{}: {}", broken.promise, broken.what));
+        cx.print_error(format_args!("{}: {}", broken.promise, broken.what));
     }
     Ok(all_whole && emulator.account.broken().is_empty())
 }
@@ -100,45 +99,46 @@
 }
 
 async fn start_gateway(place: &EntryPlace) -> Result<Running, LocalError> {
-    let failed = |reason: String| LocalError::Start { reason };
-    let settings = Settings::parse(&place.settings()).map_err(|err| failed(err.to_string()))?;
+    let start_error = |reason: String| LocalError::Start { reason };
+    let settings =
+        Settings::parse(&place.settings()).map_err(|err| start_error(err.to_string()))?;
     let running = start(settings, Mechanisms::default()).await;
-    running.map_err(|err| failed(err.to_string()))
+    running.map_err(|err| start_error(err.to_string()))
 }
 
-async fn until_ready(place: &EntryPlace) -> Result<(), LocalError> {
-    let until = Instant::now() + READY_WITHIN;
-    while Instant::now() < until {
+async fn wait_until_ready(place: &EntryPlace) -> Result<(), LocalError> {
+    let deadline = Instant::now() + READY_TIMEOUT;
+    while Instant::now() < deadline {
         if caller::readiness(place.readiness()).await == Some(200) {
             return Ok(());
         }
-        tokio::time::sleep(TRY_AGAIN).await;
+        tokio::time::sleep(RETRY_INTERVAL).await;
     }
     Err(LocalError::NotReady {
         host: place.host.clone(),
     })
 }
 
-/// Asks on every route, each at the next gateway. True when all answers are whole.
-async fn ask_on_every_route(cx: &mut Context<'_>, site: &Site, places: &[EntryPlace]) -> bool {
+/// Calls every route, each at the next gateway. True when all answers are whole.
+async fn call_every_route(cx: &mut Context<'_>, site: &Site, places: &[EntryPlace]) -> bool {
     let mut all_whole = true;
-    for (at, route) in site.routes.iter().enumerate() {
-        let place = &places[at % places.len()];
-        let outcome = ask(place, route, at).await;
+    for (index, route) in site.routes.iter().enumerate() {
+        let place = &places[index % places.len()];
+        let outcome = call_with_retries(place, route, index).await;
         let path = &route.path;
-        cx.say(format_args!(
+        cx.print(format_args!(
             "{path} at {}: {}",
             place.host,
-            in_words(&outcome)
+            describe(&outcome)
         ));
         all_whole &= outcome == Outcome::Whole;
     }
     all_whole
 }
 
-async fn ask(place: &EntryPlace, route: &RouteModel, number: usize) -> Outcome {
+async fn call_with_retries(place: &EntryPlace, route: &RouteModel, number: usize) -> Outcome {
     let mut outcome = Outcome::NotRun { after: None };
-    for attempt in 0..MOST_TRIES {
+    for attempt in 0..MAX_ATTEMPTS {
         let request = CallerRequest::on(route, format!("{:08x}{attempt:08x}", number + 1));
         outcome = match Connection::open(place.callers()).await {
             Ok(mut connection) => connection.call(&request).await,
@@ -149,12 +149,12 @@
         if !matches!(outcome, Outcome::NotRun { .. }) {
             break;
         }
-        tokio::time::sleep(TRY_AGAIN).await;
+        tokio::time::sleep(RETRY_INTERVAL).await;
     }
     outcome
 }
 
-fn in_words(outcome: &Outcome) -> String {
+fn describe(outcome: &Outcome) -> String {
     match outcome {
         Outcome::Whole => "whole".to_string(),
         Outcome::NotRun { .. } => "not run".to_string(),
@@ -163,16 +163,16 @@
     }
 }
 
-fn explain(cx: &mut Context<'_>, site: &Site, places: &[EntryPlace]) {
+fn print_usage(cx: &mut Context<'_>, site: &Site, places: &[EntryPlace]) {
     for place in places {
-        cx.say(format_args!(
+        cx.print(format_args!(
             "{} takes callers at {}",
             place.host,
             place.callers()
         ));
     }
     for route in &site.routes {
-        cx.say(format_args!("route {} to {}", route.path, route.service));
+        cx.print(format_args!("route {} to {}", route.path, route.service));
     }
-    cx.say(format_args!("end with ctrl-c"));
+    cx.print(format_args!("end with ctrl-c"));
 }
--- a/src/ops/mod.rs
+++ b/src/ops/mod.rs
@@ -1,4 +1,4 @@
-//! One module per operation.
+//! The operations, one module each.
 
 pub mod apply;
 pub mod call;
--- a/src/ops/operator.rs
+++ b/src/ops/operator.rs
@@ -7,10 +7,9 @@
 use serde::Serialize;
 use snafu::Snafu;
 
-/// Longest answer to an operator, in bytes.
-const MAX_ANSWER: usize = 64 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
-/// Where and as whom to call.
+/// Address and key for an entry's operators' listener.
 #[derive(Debug, Clone)]
 pub struct Operator {
     /// `IP:PORT` of the operators' listener.
@@ -18,7 +17,7 @@
     pub key: String,
 }
 
-/// Why there is no answer.
+/// Why a call to the operators' listener failed.
 #[derive(Debug, Snafu)]
 pub enum OperatorError {
     #[snafu(display(
@@ -32,56 +31,56 @@
         body: String,
     },
     #[snafu(display(
-        "{address} gave an answer this version cannot read: {reason}; use the same version"
+        "malformed response from {address}: {reason}; use the entry's version of hollowsail"
     ))]
-    Unreadable { address: String, reason: String },
+    Malformed { address: String, reason: String },
 }
 
 impl Operator {
-    /// Posts a message; any status with a readable answer is an answer.
+    /// Posts a message; a body that parses as `T` is returned whatever the status.
     pub async fn post<T: DeserializeOwned>(
         &self,
         path: &str,
         message: &impl Serialize,
-        wait: Duration,
+        timeout: Duration,
     ) -> Result<T, OperatorError> {
-        let sent = Client::default()
+        let result = Client::default()
             .post(format!("http://{}{path}", self.address))
             .bearer_auth(&self.key)
-            .timeout(wait)
+            .timeout(timeout)
             .send_json(message)
             .await;
-        self.read(sent).await
+        self.parse_response(result).await
     }
 
-    /// Gets a report.
+    /// Gets a resource; the status is handled as in [`Operator::post`].
     pub async fn get<T: DeserializeOwned>(
         &self,
         path: &str,
-        wait: Duration,
+        timeout: Duration,
     ) -> Result<T, OperatorError> {
-        let sent = Client::default()
+        let result = Client::default()
             .get(format!("http://{}{path}", self.address))
             .bearer_auth(&self.key)
-            .timeout(wait)
+            .timeout(timeout)
             .send()
             .await;
-        self.read(sent).await
+        self.parse_response(result).await
     }
 
-    async fn read<T: DeserializeOwned>(
+    async fn parse_response<T: DeserializeOwned>(
         &self,
-        sent: Result<awc::ClientResponse, awc::error::SendRequestError>,
+        result: Result<awc::ClientResponse, awc::error::SendRequestError>,
     ) -> Result<T, OperatorError> {
         let unreachable = |reason: String| OperatorError::Unreachable {
             address: self.address.clone(),
             reason,
         };
-        let mut res = sent.map_err(|err| unreachable(err.to_string()))?;
+        let mut res = result.map_err(|err| unreachable(err.to_string()))?;
         let status = res.status().as_u16();
         let body = res
             .body()
-            .limit(MAX_ANSWER)
+            .limit(MAX_RESPONSE_BYTES)
             .await
             .map_err(|err| unreachable(err.to_string()))?;
         match serde_json::from_slice(&body) {
@@ -91,7 +90,7 @@
                 status,
                 body: String::from_utf8_lossy(&body).trim().to_string(),
             }),
-            Err(err) => Err(OperatorError::Unreadable {
+            Err(err) => Err(OperatorError::Malformed {
                 address: self.address.clone(),
                 reason: err.to_string(),
             }),
--- a/src/ops/signals.rs
+++ b/src/ops/signals.rs
@@ -1,17 +1,17 @@
-//! The signals that a daemon heeds.
+//! The signals that a daemon handles.
 
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// What a daemon is told.
+/// Action requested by a signal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Told {
+pub enum SignalAction {
     /// SIGTERM or SIGINT: make a planned stop.
     Stop,
-    /// SIGHUP: read the settings again.
+    /// SIGHUP: reload the settings.
     Reload,
 }
 
-/// The signals of one process.
+/// Installed signal handlers.
 pub struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -19,8 +19,8 @@
 }
 
 impl Signals {
-    /// Takes the signals over from their default, which ends the process.
-    pub fn take() -> std::io::Result<Self> {
+    /// Replaces the default handlers, which end the process.
+    pub fn install() -> std::io::Result<Self> {
         Ok(Signals {
             terminate: signal(SignalKind::terminate())?,
             interrupt: signal(SignalKind::interrupt())?,
@@ -28,21 +28,21 @@
         })
     }
 
-    /// Waits for the next one.
-    pub async fn next(&mut self) -> Told {
+    /// Waits for the next signal.
+    pub async fn next(&mut self) -> SignalAction {
         tokio::select! {
-            _ = self.terminate.recv() => Told::Stop,
-            _ = self.interrupt.recv() => Told::Stop,
-            _ = self.hang_up.recv() => Told::Reload,
+            _ = self.terminate.recv() => SignalAction::Stop,
+            _ = self.interrupt.recv() => SignalAction::Stop,
+            _ = self.hang_up.recv() => SignalAction::Reload,
         }
     }
 }
 
-/// Waits for SIGTERM or SIGINT; heeds nothing else.
+/// Waits for SIGTERM or SIGINT; ignores SIGHUP.
 pub async fn wait_for_stop() {
-    let Ok(mut signals) = Signals::take() else {
-        // Without signals only a kill ends the process.
+    let Ok(mut signals) = Signals::install() else {
+        // Without handlers there is nothing to wait for: the daemon serves until it is killed.
         return std::future::pending().await;
     };
-    while signals.next().await != Told::Stop {}
+    while signals.next().await != SignalAction::Stop {}
 }
--- a/src/ops/status.rs
+++ b/src/ops/status.rs
@@ -1,4 +1,4 @@
-//! Shows what an entry knows of itself, the others and the targets.
+//! Prints an entry's view of itself, the other entries and the targets.
 
 use std::time::Duration;
 
@@ -7,22 +7,21 @@
 use crate::ops::operator::Operator;
 use crate::{Context, Exit};
 
-/// Longest wait for a report.
-const WAIT: Duration = Duration::from_secs(5);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Asks one entry and prints its report.
+/// Requests one entry's report and prints it.
 pub async fn run(cx: &mut Context<'_>, operator: &Operator, json: bool) -> Exit {
-    let report: StatusReport = match operator.get("/v1/status", WAIT).await {
+    let report: StatusReport = match operator.get("/v1/status", RESPONSE_TIMEOUT).await {
         Ok(report) => report,
         Err(err) => {
-            cx.complain(format_args!("error: {err}"));
-            return Exit::Unusable;
+            cx.print_error(format_args!("error: {err}"));
+            return Exit::CannotRun;
         }
     };
     if json {
         match serde_json::to_string_pretty(&report) {
-            Ok(text) => cx.say(text),
-            Err(err) => cx.complain(format_args!("error: {err}")),
+            Ok(text) => cx.print(text),
+            Err(err) => cx.print_error(format_args!("error: {err}")),
         }
     } else {
         print(cx, &report);
@@ -30,39 +29,39 @@
     Exit::Success
 }
 
-/// Writes a report for people.
+/// Prints a report in human-readable form.
 pub fn print(cx: &mut Context<'_>, report: &StatusReport) {
     let apply_id = report.apply_id.as_deref().unwrap_or("none");
-    cx.say(format_args!(
+    cx.print(format_args!(
         "{}: revision {} (apply {apply_id}) in force for {}, {}",
         report.entry,
         report.revision,
-        age(report.revision_age_ms),
+        format_age(report.revision_age_ms),
         report.standing
     ));
     match report.store_age_ms {
-        Some(ms) => cx.say(format_args!("store answered {ms} ms ago")),
-        None => cx.say("store has not been asked by this entry, or has not answered"),
+        Some(ms) => cx.print(format_args!("store answered {ms} ms ago")),
+        None => cx.print("store has not been queried by this entry, or has not answered"),
     }
-    cx.say(format_args!(
+    cx.print(format_args!(
         "ledger: {} open, {} records",
         report.ledger_open, report.ledger_records
     ));
-    cx.say("entries:");
+    cx.print("entries:");
     for member in &report.members {
-        cx.say(format_args!(
-            "  {:<12} hall {:<10} revision {:<6} {}, stopping: {}, heard of {} ago",
+        cx.print(format_args!(
+            "  {:<12} hall {:<10} revision {:<6} {}, stopping: {}, last update {} ago",
             member.name,
             member.hall,
             member.revision,
             member.health,
             member.stopping,
-            age(member.heard_ms_ago)
+            format_age(member.heard_ms_ago)
         ));
     }
-    cx.say("targets:");
+    cx.print("targets:");
     for target in &report.targets {
-        cx.say(format_args!(
+        cx.print(format_args!(
             "  {:<14} in flight {:<4} {:>5.1} times its usual time{}{}",
             target.name,
             target.in_flight,
@@ -77,8 +76,8 @@
     }
 }
 
-/// Milliseconds for people.
-fn age(ms: Option<u64>) -> String {
+/// Formats milliseconds, in seconds from 10 s on.
+fn format_age(ms: Option<u64>) -> String {
     match ms {
         None => "an unknown time".to_string(),
         Some(ms) if ms < 10_000 => format!("{ms} ms"),
--- a/tests/suite/check.rs
+++ b/tests/suite/check.rs
@@ -1,4 +1,4 @@
-//! `hollowsail check`.
+//! `hollowsail check`: valid, faulty and missing files.
 
 use std::path::{Path, PathBuf};
 
@@ -12,7 +12,7 @@
         err: &mut err,
     };
     let exit = ops::check::run(&mut cx, paths);
-    let text = |bytes| String::from_utf8(bytes).expect("it is text");
+    let text = |bytes| String::from_utf8(bytes).expect("the output is UTF-8");
     (exit, text(out), text(err))
 }
 
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn the_example_is_right() {
+fn example_passes_the_check() {
     let (exit, out, err) = check(&quebec());
     assert_eq!(exit, Exit::Success);
     expect![[r#"
@@ -35,20 +35,22 @@
 }
 
 #[test]
-fn a_copy_with_three_faults_lists_all_three() {
-    let directory = tempfile::tempdir().expect("a directory");
+fn every_fault_is_listed() {
+    let directory = tempfile::tempdir().expect("a temporary directory");
     let mut paths = Vec::new();
     for path in quebec() {
         let text = std::fs::read_to_string(&path)
-            .expect("it ships")
+            .expect("the example can be read")
             .replace("deadline_ms = 6000", "deadline_ms = soon")
             .replace(
                 "model = writer-3b\nmax_tokens = 32",
                 "model = nobody\nmax_tokens = 32",
             )
             .replace("weight = 8", "wieght = 8");
-        let copy = directory.path().join(path.file_name().expect("a name"));
-        std::fs::write(&copy, text).expect("it can be written");
+        let copy = directory
+            .path()
+            .join(path.file_name().expect("a file name"));
+        std::fs::write(&copy, text).expect("the file can be written");
         paths.push(copy);
     }
     let (exit, _, err) = check(&paths);
@@ -63,9 +65,9 @@
 }
 
 #[test]
-fn a_file_that_is_not_there_is_named() {
+fn missing_file_is_named() {
     let (exit, _, err) = check(&[Path::new("nowhere.ini").to_path_buf()]);
-    assert_eq!(exit, Exit::Unusable);
+    assert_eq!(exit, Exit::CannotRun);
     expect![[r#"
         error: cannot read nowhere.ini: No such file or directory (os error 2); check the path
     "#]]
--- a/tests/suite/daemon.rs
+++ b/tests/suite/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon as separate processes: serving, pausing, stopping, dying.
+//! The entry daemon in separate processes: serving, paused, stopping and killed.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -27,7 +27,7 @@
 }
 
 fn accra() -> Vec<SourceFile> {
-    read_directory(Path::new("examples/accra")).expect("it ships")
+    read_directory(Path::new("examples/accra")).expect("the example can be read")
 }
 
 async fn start() -> Fleet {
@@ -37,22 +37,22 @@
 
 /// Starts a daemon of each program, in acc-a, acc-b and tema-a.
 pub(crate) async fn start_programs(programs: [&Path; 3]) -> Fleet {
-    let directory = tempfile::tempdir().expect("a directory");
+    let directory = tempfile::tempdir().expect("a temporary directory");
     let profile = Profile {
         plain_ms: 200.0,
         ..Profile::default()
     };
-    let deployment = check(&accra()).expect("it is right");
-    let targets = TargetStandIns::start(&deployment, profile).expect("targets");
-    let store = StoreStandIn::start(1).expect("a store");
+    let deployment = check(&accra()).expect("the example is valid");
+    let targets = TargetStandIns::start(&deployment, profile).expect("target stand-ins start");
+    let store = StoreStandIn::start(1).expect("the store stand-in starts");
     let mut daemons: Vec<Daemon> = Vec::new();
-    for (at, (hall, program)) in ["acc-a", "acc-b", "tema-a"]
+    for (index, (hall, program)) in ["acc-a", "acc-b", "tema-a"]
         .iter()
         .zip(programs)
         .enumerate()
     {
         let seeds: Vec<SocketAddr> = daemons.iter().map(|daemon| daemon.peers).collect();
-        let name = format!("entry-{at}");
+        let name = format!("entry-{index}");
         daemons.push(Daemon::start(
             program,
             directory.path(),
@@ -78,9 +78,9 @@
     let paths = localize(&accra(), &fleet.targets.addresses)
         .iter()
         .map(|file| {
-            let name = Path::new(&file.name).file_name().expect("a name");
+            let name = Path::new(&file.name).file_name().expect("a file name");
             let path = fleet.directory.path().join(name);
-            std::fs::write(&path, &file.text).expect("it can be written");
+            std::fs::write(&path, &file.text).expect("the file can be written");
             path
         })
         .collect();
@@ -108,17 +108,17 @@
     }
 }
 
-pub(crate) async fn wait_until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
+pub(crate) async fn wait_until(condition: &str, mut holds: impl AsyncFnMut() -> bool) {
     let end = Instant::now() + Duration::from_secs(30);
     while !holds().await {
-        assert!(Instant::now() < end, "never came about: {what}");
+        assert!(Instant::now() < end, "timed out waiting until {condition}");
         actix_rt::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
 async fn wait_for_members(daemon: &Daemon, count: usize) {
     let operator = operator(daemon);
-    wait_until("all entries know each other", async || {
+    wait_until("all entries are members", async || {
         let status: Result<StatusReport, _> =
             operator.get("/v1/status", Duration::from_secs(5)).await;
         status.is_ok_and(|status| status.members.len() == count)
@@ -150,24 +150,24 @@
 }
 
 pub(crate) async fn pay(daemon: &Daemon, id: &str, ticket: &str) -> AnswerBody {
-    let answered = Caller::default()
+    let response = Caller::default()
         .call(daemon.callers, &payment(id, ticket))
         .await;
-    answered.expect("an answer").body
+    response.expect("an answer").body
 }
 
 #[actix_rt::test]
-async fn sigterm_under_load_cuts_no_request_and_hands_the_ledger_on() {
+async fn sigterm_ends_requests_and_hands_over_ledger() {
     let mut fleet = start().await;
-    let used = ticket(&fleet.daemons[0]).await;
-    let kept = pay(&fleet.daemons[0], "kept", &used).await;
-    assert_eq!(kept.outcome, Outcome::Whole, "{kept:?}");
+    let used_ticket = ticket(&fleet.daemons[0]).await;
+    let expected = pay(&fleet.daemons[0], "kept", &used_ticket).await;
+    assert_eq!(expected.outcome, Outcome::Whole, "{expected:?}");
     let address = fleet.daemons[0].callers;
     let calls: Vec<_> = (0..20)
-        .map(|at| {
+        .map(|index| {
             actix_rt::spawn(async move {
-                actix_rt::time::sleep(Duration::from_millis(10 * at)).await;
-                let request = Request::new("appeal-draft", KEY, json!(at));
+                actix_rt::time::sleep(Duration::from_millis(10 * index)).await;
+                let request = Request::new("appeal-draft", KEY, json!(index));
                 Caller::default().call(address, &request).await
             })
         })
@@ -179,22 +179,25 @@
         assert_eq!(answer.outcome, Outcome::Whole, "{answer:?}");
     }
     let mut stopped = fleet.daemons.remove(0);
-    wait_until("it ends by itself", async || stopped.has_ended_well()).await;
+    wait_until("the stopped entry exits", async || {
+        stopped.has_exited_successfully()
+    })
+    .await;
     for daemon in &fleet.daemons {
-        assert_eq!(pay(daemon, "kept", &used).await, kept);
+        assert_eq!(pay(daemon, "kept", &used_ticket).await, expected);
     }
     assert_eq!(fleet.targets.log.count("kept", "confirm"), 1);
 }
 
 #[actix_rt::test]
-async fn an_entry_paused_while_a_payment_runs_makes_nobody_run_it_again() {
+async fn paused_entry_does_not_cause_a_second_run() {
     let fleet = start().await;
     let ticket = ticket(&fleet.daemons[0]).await;
     let address = fleet.daemons[1].callers;
-    let copy = ticket.clone();
+    let ticket_copy = ticket.clone();
     let first = actix_rt::spawn(async move {
         Caller::default()
-            .call(address, &payment("paused", &copy))
+            .call(address, &payment("paused", &ticket_copy))
             .await
     });
     let log = fleet.targets.log.clone();
@@ -207,8 +210,8 @@
     assert_eq!(again.outcome, Outcome::Unknown, "{again:?}");
     fleet.daemons[0].signal("CONT");
     let first = first.await.expect("no panic");
-    if let Ok(answered) = first {
-        assert_ne!(answered.body.outcome, Outcome::NotRun);
+    if let Ok(response) = first {
+        assert_ne!(response.body.outcome, Outcome::NotRun);
     }
     let settled = pay(&fleet.daemons[2], "paused", &ticket).await;
     assert_ne!(settled.outcome, Outcome::NotRun, "{settled:?}");
@@ -216,7 +219,7 @@
 }
 
 #[actix_rt::test]
-async fn an_entry_killed_and_replaced_never_answers_for_its_former_tickets() {
+async fn killed_entrys_tickets_stay_unknown() {
     let mut fleet = start().await;
     let ticket = ticket(&fleet.daemons[0]).await;
     let first = pay(&fleet.daemons[1], "killed", &ticket).await;
@@ -230,15 +233,16 @@
 }
 
 #[test]
-fn faulty_settings_end_the_daemon_with_every_fault() {
-    let directory = tempfile::tempdir().expect("a directory");
+fn faulty_settings_exit_listing_every_fault() {
+    let directory = tempfile::tempdir().expect("a temporary directory");
     let path = directory.path().join("entry.ini");
-    std::fs::write(&path, "[entry]\nname = x\n[listen]\ncallers = here\n").expect("written");
+    std::fs::write(&path, "[entry]\nname = x\n[listen]\ncallers = here\n")
+        .expect("the file can be written");
     let output = std::process::Command::new(env!("CARGO_BIN_EXE_hollowsail"))
         .args(["entry", "--settings"])
         .arg(&path)
         .output()
-        .expect("it runs");
+        .expect("the command runs");
     assert_eq!(output.status.code(), Some(2));
     let text = String::from_utf8_lossy(&output.stderr);
     assert!(
--- a/tests/suite/gateway.rs
+++ b/tests/suite/gateway.rs
@@ -11,8 +11,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Longest wait for a line.
-const PATIENCE: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A running `hollowsail gateway`; killed when dropped.
 struct Gateway {
@@ -22,7 +21,7 @@
 
 impl Drop for Gateway {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // The process may have exited already.
         let _ended = self.child.kill();
         let _status = self.child.wait();
     }
@@ -30,7 +29,7 @@
 
 fn free_addr() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback can be bound");
-    listener.local_addr().expect("it is bound")
+    listener.local_addr().expect("the listener is bound")
 }
 
 fn settings(directory: &Path, store: SocketAddr, grace_s: u32) -> PathBuf {
@@ -47,14 +46,14 @@
     path
 }
 
-/// Starts the process with its log in a pipe.
+/// Starts the process with its standard output in a pipe.
 fn spawn(settings: &Path) -> Child {
     Command::new(env!("CARGO_BIN_EXE_hollowsail"))
         .arg("gateway")
         .env("HOLLOWSAIL_BOOT", settings)
         .stdout(Stdio::piped())
         .spawn()
-        .expect("it starts")
+        .expect("the gateway starts")
 }
 
 impl Gateway {
@@ -69,17 +68,17 @@
         Gateway { child, lines }
     }
 
-    /// Waits for a line with an event, while the stand-ins on this thread serve.
-    async fn line_with(&self, event: &str) -> String {
-        let until = std::time::Instant::now() + PATIENCE;
-        while std::time::Instant::now() < until {
+    /// Waits for a log line that contains `event`, without blocking the stand-ins on this thread.
+    async fn wait_for_line(&self, event: &str) -> String {
+        let deadline = std::time::Instant::now() + TIMEOUT;
+        while std::time::Instant::now() < deadline {
             match self.lines.try_recv() {
                 Ok(line) if line.contains(event) => return line,
                 Ok(_) => {}
                 Err(_) => tokio::time::sleep(Duration::from_millis(5)).await,
             }
         }
-        panic!("no line with {event}");
+        panic!("no log line with {event} within {TIMEOUT:?}");
     }
 
     fn signal(&self, name: &str) {
@@ -92,51 +91,62 @@
 }
 
 #[actix_rt::test]
-async fn it_logs_its_start_reload_and_stop_and_ends_in_order() {
+async fn gateway_logs_start_reload_and_stop() {
     let store = StoreStandin::start().await;
     store.put("op/config", &DeploymentJson::new(3).bytes());
-    let directory = tempfile::tempdir().expect("a directory");
+    let directory = tempfile::tempdir().expect("a temporary directory");
     let path = settings(directory.path(), store.addr, 2);
     let mut gateway = Gateway::start(&path);
     assert!(gateway
-        .line_with("HS0101 started")
+        .wait_for_line("HS0101 started")
         .await
         .contains("hall=hall-a"));
-    assert!(gateway.line_with("HS0301").await.contains("version=3"));
+    assert!(gateway.wait_for_line("HS0301").await.contains("version=3"));
     settings(directory.path(), store.addr, 4);
     gateway.signal("-HUP");
     assert!(gateway
-        .line_with("HS0109 reloaded")
+        .wait_for_line("HS0109 reloaded")
         .await
         .contains("grace_s: 4.0"));
     std::fs::write(&path, "node: 1\n").expect("settings can be written");
     gateway.signal("-HUP");
     tokio::time::sleep(Duration::from_millis(200)).await;
     assert!(
-        gateway.child.try_wait().expect("it can be asked").is_none(),
-        "it goes on"
+        gateway
+            .child
+            .try_wait()
+            .expect("the process status can be read")
+            .is_none(),
+        "the gateway keeps running"
     );
     gateway.signal("-TERM");
-    gateway.line_with("HS0102 stop_begun").await;
-    gateway.line_with("HS0107 left").await;
-    let until = std::time::Instant::now() + PATIENCE;
+    gateway.wait_for_line("HS0102 stop_begun").await;
+    gateway.wait_for_line("HS0107 left").await;
+    let deadline = std::time::Instant::now() + TIMEOUT;
     let status = loop {
-        if let Some(status) = gateway.child.try_wait().expect("it can be asked") {
+        if let Some(status) = gateway
+            .child
+            .try_wait()
+            .expect("the process status can be read")
+        {
             break status;
         }
-        assert!(std::time::Instant::now() < until, "it did not end");
+        assert!(
+            std::time::Instant::now() < deadline,
+            "the gateway did not exit"
+        );
         tokio::time::sleep(Duration::from_millis(10)).await;
     };
     assert!(status.success());
 }
 
 #[test]
-fn without_usable_settings_it_ends_and_says_what_to_do() {
+fn missing_settings_variable_exits_with_advice() {
     let output = Command::new(env!("CARGO_BIN_EXE_hollowsail"))
         .arg("gateway")
         .env_remove("HOLLOWSAIL_BOOT")
         .output()
-        .expect("it runs");
+        .expect("the command runs");
     assert_eq!(output.status.code(), Some(2));
     expect_test::expect![[r#"
         error: HOLLOWSAIL_BOOT is not set; set it to the path of the settings file
@@ -144,8 +154,8 @@
     .assert_eq(&String::from_utf8_lossy(&output.stderr));
 }
 
-/// Asks until the gateway answers with a status.
-async fn status_of(addr: SocketAddr, path: &str) -> Option<u16> {
+/// Sends a GET request; returns the status, or `None` when the response is incomplete.
+async fn get_status(addr: SocketAddr, path: &str) -> Option<u16> {
     let mut stream = TcpStream::connect(addr).await.ok()?;
     let request = format!(
         "GET {path} HTTP/1.1\r\nHost: host.example\r\nX-Request-Id: 1\r\nConnection: close\r\n\r\n"
@@ -157,23 +167,23 @@
 }
 
 #[test]
-fn without_an_unknown_mechanism_it_ends_and_names_the_known_ones() {
+fn unknown_mechanism_is_rejected_by_name() {
     let output = Command::new(env!("CARGO_BIN_EXE_hollowsail"))
         .args(["gateway", "--without", "desks"])
         .env_remove("HOLLOWSAIL_BOOT")
         .output()
-        .expect("it runs");
+        .expect("the command runs");
     assert_eq!(output.status.code(), Some(2));
-    let said = String::from_utf8_lossy(&output.stderr);
+    let stderr = String::from_utf8_lossy(&output.stderr);
     assert!(
-        said.contains("--without desks: no such mechanism"),
-        "{said}"
+        stderr.contains("--without desks: no such mechanism"),
+        "{stderr}"
     );
 }
 
 #[actix_rt::test]
-async fn a_log_that_nobody_reads_holds_no_request_up() {
-    /// Each logs at least 100 bytes: far more than a pipe holds (64 KiB).
+async fn unread_log_does_not_block_requests() {
+    /// Enough to overflow a pipe of 64 KiB at 100 bytes of log or more for each request.
     const REQUESTS: usize = 1_500;
     let store = StoreStandin::start().await;
     let target = TargetStandin::answering("ok", Duration::ZERO).await;
@@ -185,18 +195,21 @@
     );
     store.put("op/config", &deployment.bytes());
     store.put_target("i-1", "plain", target.addr, "hall-a", "ready");
-    let directory = tempfile::tempdir().expect("a directory");
+    let directory = tempfile::tempdir().expect("a temporary directory");
     let path = settings(directory.path(), store.addr, 2);
-    let callers = callers_of(&path);
+    let callers = callers_addr(&path);
     let mut child = spawn(&path);
-    let until = std::time::Instant::now() + PATIENCE;
-    while status_of(callers, "/safe/").await != Some(200) {
-        assert!(std::time::Instant::now() < until, "it does not serve");
+    let deadline = std::time::Instant::now() + TIMEOUT;
+    while get_status(callers, "/safe/").await != Some(200) {
+        assert!(
+            std::time::Instant::now() < deadline,
+            "the gateway does not serve"
+        );
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     for request in 0..REQUESTS {
-        let answered = tokio::time::timeout(PATIENCE, status_of(callers, "/safe/")).await;
-        assert_eq!(answered, Ok(Some(200)), "request {request}");
+        let status = tokio::time::timeout(TIMEOUT, get_status(callers, "/safe/")).await;
+        assert_eq!(status, Ok(Some(200)), "request {request}");
     }
     let mut stdout = child.stdout.take().expect("piped");
     let reader = std::thread::spawn(move || {
@@ -204,24 +217,26 @@
         let _read = stdout.read_to_string(&mut log);
         log
     });
-    // Lines get through again, the first of them telling how many were lost.
-    while status_of(callers, "/safe/").await != Some(200) {}
+    // Log lines are written again; the first one reports the number of lost lines.
+    while get_status(callers, "/safe/").await != Some(200) {}
     tokio::time::sleep(Duration::from_millis(100)).await;
-    status_of(callers, "/safe/").await;
-    child.kill().expect("it runs");
-    child.wait().expect("it ends");
-    let log = reader.join().expect("it reads");
+    get_status(callers, "/safe/").await;
+    child.kill().expect("the gateway runs");
+    child.wait().expect("the gateway exits");
+    let log = reader.join().expect("the reader ends");
     assert!(
         log.contains("HS0100 log_lines_lost count="),
-        "none was lost"
+        "no lost lines were reported"
     );
     assert!(log.lines().count() < 2 * REQUESTS);
 }
 
-/// Where settings say that callers come.
-fn callers_of(settings: &Path) -> SocketAddr {
-    let text = std::fs::read_to_string(settings).expect("it was written");
-    let (_, rest) = text.split_once("front: ").expect("it names the address");
+/// Callers' address in a settings file.
+fn callers_addr(settings: &Path) -> SocketAddr {
+    let text = std::fs::read_to_string(settings).expect("the settings can be read");
+    let (_, rest) = text
+        .split_once("front: ")
+        .expect("the settings name the address");
     let (addr, _) = rest.split_once('\n').expect("a line");
     addr.parse().expect("an address")
 }
--- a/tests/suite/local_platform.rs
+++ b/tests/suite/local_platform.rs
@@ -1,13 +1,13 @@
-//! `hollowsail local --platform`, as the README shows it.
+//! `hollowsail local --platform` with the example site.
 
 use std::process::Command;
 
 #[test]
-fn one_request_on_every_route_of_the_example_is_answered_whole() {
+fn every_example_route_answers_whole() {
     let output = Command::new(env!("CARGO_BIN_EXE_hollowsail"))
         .args(["local", "--platform", "--once"])
         .output()
-        .expect("it runs");
+        .expect("the command runs");
     let text = String::from_utf8_lossy(&output.stdout);
     assert!(output.status.success(), "{text}");
     for route in ["/safe/plain/", "/once/", "/answers/"] {
@@ -17,11 +17,11 @@
 }
 
 #[test]
-fn a_site_file_that_isnt_there_is_named() {
+fn missing_site_file_is_named() {
     let output = Command::new(env!("CARGO_BIN_EXE_hollowsail"))
         .args(["local", "--platform", "--site", "no/site.ini"])
         .output()
-        .expect("it runs");
+        .expect("the command runs");
     let text = String::from_utf8_lossy(&output.stderr);
     assert!(
         text.contains("no/site.ini") && text.contains("name a site file"),
--- a/tests/suite/main.rs
+++ b/tests/suite/main.rs
@@ -1,4 +1,4 @@
-//! The `hollowsail` command, as its users run it.
+//! Tests of the `hollowsail` command and its operations.
 
 mod check;
 mod daemon;
--- a/tests/suite/mixed_builds.rs
+++ b/tests/suite/mixed_builds.rs
@@ -1,7 +1,7 @@
 //! Entries of two builds in one fleet, as during an upgrade.
 //!
 //! `HOLLOWSAIL_OLD_BUILD` names the program of an older build. Without it both sides run
-//! the program under test, so that the checks themselves are tried on every run.
+//! the program under test.
 
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -20,12 +20,11 @@
 }
 
 async fn call(daemon: &Daemon, request: &Request<'_>) -> AnswerBody {
-    let answered = Caller::default().call(daemon.callers, request).await;
-    answered.expect("an answer").body
+    let response = Caller::default().call(daemon.callers, request).await;
+    response.expect("an answer").body
 }
 
-/// Sends each pipeline request and each kind of run-once request from every daemon to
-/// every other one.
+/// Exchanges pipeline, ticket and claim requests between all pairs of daemons.
 async fn exchange(fleet: &Fleet) {
     for (issuer, issuing) in fleet.daemons.iter().enumerate() {
         for (server, serving) in fleet.daemons.iter().enumerate() {
@@ -55,19 +54,22 @@
     }
 }
 
-/// Serves, applies, hands a ledger over and admits a new entry with the given programs.
+/// Runs the steps of an upgrade: serve, apply, hand over a ledger, join a new entry.
 async fn upgrade(programs: [&Path; 3], joining: &Path) {
     let mut fleet = start_programs(programs).await;
     exchange(&fleet).await;
     apply(&fleet, 1, 1, "second").await;
-    let used = ticket(&fleet.daemons[0]).await;
-    let kept = pay(&fleet.daemons[0], "kept", &used).await;
-    assert_eq!(kept.outcome, Outcome::Whole, "{kept:?}");
+    let used_ticket = ticket(&fleet.daemons[0]).await;
+    let expected = pay(&fleet.daemons[0], "kept", &used_ticket).await;
+    assert_eq!(expected.outcome, Outcome::Whole, "{expected:?}");
     fleet.daemons[0].signal("TERM");
     let mut stopped = fleet.daemons.remove(0);
-    wait_until("it ends by itself", async || stopped.has_ended_well()).await;
+    wait_until("the stopped entry exits", async || {
+        stopped.has_exited_successfully()
+    })
+    .await;
     for daemon in &fleet.daemons {
-        assert_eq!(pay(daemon, "kept", &used).await, kept);
+        assert_eq!(pay(daemon, "kept", &used_ticket).await, expected);
     }
     let seeds: Vec<_> = fleet.daemons.iter().map(|daemon| daemon.peers).collect();
     let directory = fleet.directory.path();
@@ -78,11 +80,11 @@
         draft.outcome == Outcome::Whole
     })
     .await;
-    // Until it has learned who took the ledger over, it answers that the outcome is unknown.
-    wait_until("the new entry finds the kept answer", async || {
-        let again = pay(&joined, "kept", &used).await;
+    // Until the new entry learns the ledger's successor, it answers "unknown".
+    wait_until("the new entry returns the retained answer", async || {
+        let again = pay(&joined, "kept", &used_ticket).await;
         assert_ne!(again.outcome, Outcome::NotRun, "{again:?}");
-        again == kept
+        again == expected
     })
     .await;
     fleet.daemons.push(joined);
@@ -93,7 +95,7 @@
     exchange_after(&fleet).await;
 }
 
-/// The remaining and the new daemon answer for each other's tickets.
+/// Checks that the remaining and the new daemons serve each other's tickets.
 async fn exchange_after(fleet: &Fleet) {
     for (issuer, issuing) in fleet.daemons.iter().enumerate() {
         let id = format!("after-{issuer}");
@@ -109,25 +111,25 @@
 }
 
 #[actix_rt::test]
-async fn a_new_entry_among_old_ones_serves() {
+async fn new_entry_serves_among_old_ones() {
     let (old, new) = (old_program(), own_program());
     upgrade([&old, &new, &old], &new).await;
 }
 
 #[actix_rt::test]
-async fn an_old_entry_among_new_ones_serves() {
+async fn old_entry_serves_among_new_ones() {
     let (old, new) = (old_program(), own_program());
     upgrade([&new, &old, &new], &old).await;
 }
 
 #[actix_rt::test]
-async fn a_ledger_of_a_new_entry_passes_to_old_ones() {
+async fn new_entry_hands_ledger_to_old_ones() {
     let (old, new) = (old_program(), own_program());
     upgrade([&new, &old, &old], &new).await;
 }
 
 #[actix_rt::test]
-async fn a_ledger_of_an_old_entry_passes_to_new_ones() {
+async fn old_entry_hands_ledger_to_new_ones() {
     let (old, new) = (old_program(), own_program());
     upgrade([&old, &new, &new], &old).await;
 }
--- a/tests/suite/output.rs
+++ b/tests/suite/output.rs
@@ -1,4 +1,4 @@
-//! What people read: snapshots of answers and results.
+//! Snapshots of the human-readable output of operations.
 
 use expect_test::expect;
 use hollowsail::ops::{apply, call, status};
@@ -10,15 +10,15 @@
 use hollowsail_routing::StageStatus;
 use serde_json::json;
 
-/// Everything an operation wrote, results first.
-fn written(write: impl FnOnce(&mut Context<'_>)) -> String {
+/// Returns all that an operation printed: its output, then its errors.
+fn captured(write: impl FnOnce(&mut Context<'_>)) -> String {
     let (mut out, mut err) = (Vec::new(), Vec::new());
     write(&mut Context {
         out: &mut out,
         err: &mut err,
     });
     out.extend(err);
-    String::from_utf8(out).expect("it is text")
+    String::from_utf8(out).expect("the output is UTF-8")
 }
 
 fn stages() -> Vec<StageReport> {
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn an_answer_shows_outcome_stages_and_what_to_do() {
+fn answer_prints_outcome_stages_and_advice() {
     let failed = (
         ErrorKind::TargetFailed,
         "stage confirm may have run: cut".to_string(),
@@ -48,7 +48,7 @@
           encode     ran, 1 attempt(s), 7 ms
           confirm    unknown, 1 attempt(s), 7 ms
     "#]]
-    .assert_eq(&written(|cx| call::print(cx, "pay", &answer)));
+    .assert_eq(&captured(|cx| call::print(cx, "pay", &answer)));
     let mut ran = stages();
     ran[1].status = StageStatus::Ran;
     let whole = AnswerBody::ended("r", ran, false, Ok(json!({ "text": "x".repeat(500) })));
@@ -57,18 +57,18 @@
           encode     ran, 1 attempt(s), 7 ms
           confirm    ran, 1 attempt(s), 7 ms
           output: {"text":"xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx... (511 bytes)
-    "#]].assert_eq(&written(|cx| call::print(cx, "pay", &whole)));
+    "#]].assert_eq(&captured(|cx| call::print(cx, "pay", &whole)));
 }
 
-fn shown(result: ApplyResult) -> (Exit, String) {
-    let mut exit = Exit::Unusable;
-    let text = written(|cx| exit = apply::report(cx, "id-1", result));
+fn print_result(result: ApplyResult) -> (Exit, String) {
+    let mut exit = Exit::CannotRun;
+    let text = captured(|cx| exit = apply::print_result(cx, "id-1", result));
     (exit, text)
 }
 
 #[test]
-fn an_apply_says_how_it_ended() {
-    let (exit, text) = shown(ApplyResult::Accepted {
+fn apply_prints_its_result() {
+    let (exit, text) = print_result(ApplyResult::Accepted {
         revision: 7,
         missing: vec![],
     });
@@ -77,7 +77,7 @@
         revision 7 is in force everywhere
     "#]]
     .assert_eq(&text);
-    let (exit, text) = shown(ApplyResult::Accepted {
+    let (exit, text) = print_result(ApplyResult::Accepted {
         revision: 7,
         missing: vec!["entry-2".into()],
     });
@@ -87,7 +87,7 @@
         not yet reported by: entry-2; see `hollowsail status`
     "#]]
     .assert_eq(&text);
-    let (exit, text) = shown(ApplyResult::Conflict {
+    let (exit, text) = print_result(ApplyResult::Conflict {
         in_force: 8,
         differs_in: vec!["models.ini".into()],
         message: "revision 8 is in force, not 7".into(),
@@ -98,18 +98,18 @@
           differs: models.ini
     "#]]
     .assert_eq(&text);
-    let (exit, text) = shown(ApplyResult::Unknown {
-        message: "the store did not say".into(),
+    let (exit, text) = print_result(ApplyResult::Unknown {
+        message: "the store did not answer".into(),
     });
     assert_eq!(exit, Exit::Failure);
     expect![[r#"
-        unknown: the store did not say (--id id-1)
+        unknown: the store did not answer (--id id-1)
     "#]]
     .assert_eq(&text);
 }
 
 #[test]
-fn status_shows_entries_and_targets() {
+fn status_prints_entries_and_targets() {
     let report = StatusReport {
         entry: "entry-1".into(),
         revision: 3,
@@ -141,9 +141,9 @@
         store answered 40 ms ago
         ledger: 1 open, 9 records
         entries:
-          entry-1      hall mtl-a      revision 3      Alive, stopping: No, heard of 120 ms ago
+          entry-1      hall mtl-a      revision 3      Alive, stopping: No, last update 120 ms ago
         targets:
           llm-01         in flight 2      1.2 times its usual time, ejected, takes no new work
     "#]]
-    .assert_eq(&written(|cx| status::print(cx, &report)));
+    .assert_eq(&captured(|cx| status::print(cx, &report)));
 }
--- a/tests/suite/process.rs
+++ b/tests/suite/process.rs
@@ -1,4 +1,4 @@
-//! Real processes of the daemon, started and signalled by id.
+//! Entry daemons run as child processes.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 
 use hollowsail_config::key::hash_key;
 
-/// The operators' key of these daemons.
+/// Operators' key of every daemon.
 pub const OPERATOR_KEY: &str = "operator";
 
 /// The program under test.
@@ -53,12 +53,12 @@
             .env("RUST_LOG", "error")
             .stdout(Stdio::piped())
             .spawn()
-            .expect("it starts");
+            .expect("the daemon starts");
         let mut stdout = BufReader::new(child.stdout.take().expect("piped"));
         let mut line = String::new();
         stdout
             .read_line(&mut line)
-            .expect("it says where it listens");
+            .expect("it prints its addresses");
         let address = |name: &str| -> SocketAddr {
             line.split_whitespace()
                 .find_map(|field| field.strip_prefix(name))
@@ -82,8 +82,8 @@
         assert!(status.expect("kill runs").success());
     }
 
-    /// True once the process has ended by itself, and well.
-    pub fn has_ended_well(&mut self) -> bool {
+    /// True once the process has exited with success.
+    pub fn has_exited_successfully(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(status)) if status.success())
     }
 }
