--- a/crates/local/src/caller.rs
+++ b/crates/local/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller, as a client program would be written.
+//! A client of an entry's callers' listener.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,28 +12,28 @@
 use serde_json::{json, Value};
 use snafu::Snafu;
 
-/// Longest wait beyond the deadline, for answers that say it has passed.
-const GRACE: Duration = Duration::from_secs(5);
+/// Wait beyond the deadline, in which a "deadline exceeded" answer may arrive.
+const DEADLINE_GRACE: Duration = Duration::from_secs(5);
 
-/// The answer did not arrive whole.
+/// Why no complete answer arrived.
 #[derive(Debug, Snafu)]
 pub enum CallerError {
     #[snafu(display("cannot connect: {reason}; nothing was sent"))]
     NotSent { reason: String },
-    #[snafu(display("no whole answer: {reason}"))]
+    #[snafu(display("incomplete answer: {reason}"))]
     Broken { reason: String },
 }
 
-/// By what a request runs once.
+/// How a request is limited to one run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Once {
     No,
     Ticket(String),
-    /// The caller's own id, and when it was first sent (ms since 1970).
+    /// The caller's own id, and the time of its first send in Unix milliseconds.
     Id(String, u64),
 }
 
-/// One request.
+/// A request to a pipeline.
 #[derive(Debug, Clone)]
 pub struct Request<'a> {
     pub pipeline: &'a str,
@@ -61,14 +61,14 @@
 
 /// An answer with its HTTP status.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Answered {
+pub struct Response {
     pub status: u16,
     pub body: AnswerBody,
-    /// Tokens that came as events, put together; restarts obeyed.
+    /// Text of the token events since the last restart event.
     pub streamed: String,
 }
 
-/// A client bound to one thread.
+/// A pooled HTTP client, bound to one thread.
 #[derive(Clone)]
 pub struct Caller {
     client: Client,
@@ -83,18 +83,18 @@
 }
 
 impl Caller {
-    /// Sends a request and waits for the whole answer.
+    /// Sends a request and reads its answer as one JSON body.
     pub async fn call(
         &self,
         entry: SocketAddr,
         request: &Request<'_>,
-    ) -> Result<Answered, CallerError> {
+    ) -> Result<Response, CallerError> {
         let mut res = self.send(entry, request, false).await?;
         let status = res.status().as_u16();
         let body = res.body().limit(16 * 1024 * 1024);
-        let body = with_limit(request, body).await?;
-        let body = serde_json::from_slice(&body).map_err(broken)?;
-        Ok(Answered {
+        let body = with_timeout(request, body).await?;
+        let body = serde_json::from_slice(&body).map_err(broken_error)?;
+        Ok(Response {
             status,
             body,
             streamed: String::new(),
@@ -106,41 +106,41 @@
         &self,
         entry: SocketAddr,
         request: &Request<'_>,
-    ) -> Result<Answered, CallerError> {
+    ) -> Result<Response, CallerError> {
         let mut res = self.send(entry, request, true).await?;
         let status = res.status().as_u16();
-        let kind = res.headers().get("content-type");
-        if kind.is_none_or(|kind| kind != "text/event-stream") {
-            let body = with_limit(request, res.body()).await?;
-            return Ok(Answered {
+        let content_type = res.headers().get("content-type");
+        if content_type.is_none_or(|content_type| content_type != "text/event-stream") {
+            let body = with_timeout(request, res.body()).await?;
+            return Ok(Response {
                 status,
-                body: serde_json::from_slice(&body).map_err(broken)?,
+                body: serde_json::from_slice(&body).map_err(broken_error)?,
                 streamed: String::new(),
             });
         }
         let mut events = res.eventsource();
         let mut streamed = String::new();
         while let Some(event) = events.next().await {
-            let event = event.map_err(broken)?;
+            let event = event.map_err(broken_error)?;
             match event.event.as_str() {
                 "token" => {
-                    let token: Value = serde_json::from_str(&event.data).map_err(broken)?;
+                    let token: Value = serde_json::from_str(&event.data).map_err(broken_error)?;
                     streamed.push_str(token["text"].as_str().unwrap_or(""));
                 }
                 "restart" => streamed.clear(),
                 _ => {
-                    return Ok(Answered {
+                    return Ok(Response {
                         status,
-                        body: serde_json::from_str(&event.data).map_err(broken)?,
+                        body: serde_json::from_str(&event.data).map_err(broken_error)?,
                         streamed,
                     })
                 }
             }
         }
-        Err(broken("the events ended without an answer"))
+        Err(broken_error("the event stream ended without an answer"))
     }
 
-    /// Gets tickets.
+    /// Requests `count` tickets for the key's organisation.
     pub async fn tickets(
         &self,
         entry: SocketAddr,
@@ -151,12 +151,12 @@
             .client
             .post(format!("http://{entry}/v1/tickets?count={count}"))
             .bearer_auth(key)
-            .timeout(GRACE)
+            .timeout(DEADLINE_GRACE)
             .send()
             .await
             .map_err(send_error)?;
-        let body = res.body().await.map_err(broken)?;
-        let tickets: Tickets = serde_json::from_slice(&body).map_err(broken)?;
+        let body = res.body().await.map_err(broken_error)?;
+        let tickets: Tickets = serde_json::from_slice(&body).map_err(broken_error)?;
         Ok(tickets.tickets)
     }
 
@@ -171,7 +171,7 @@
             .client
             .post(url)
             .bearer_auth(request.key)
-            .timeout(time_limit(request));
+            .timeout(response_timeout(request));
         if let Some(id) = request.id {
             req = req.insert_header((headers::REQUEST, id));
         }
@@ -184,9 +184,9 @@
         req = match &request.once {
             Once::No => req,
             Once::Ticket(ticket) => req.insert_header((headers::TICKET, ticket.as_str())),
-            Once::Id(id, sent) => req
+            Once::Id(id, sent_ms) => req
                 .insert_header((headers::IDEMPOTENCY_KEY, id.as_str()))
-                .insert_header((headers::IDEMPOTENCY_TIME, sent.to_string())),
+                .insert_header((headers::IDEMPOTENCY_TIME, sent_ms.to_string())),
         };
         let mut body = json!({ "input": request.input });
         if let Some(session) = request.session {
@@ -196,18 +196,18 @@
     }
 }
 
-fn time_limit(request: &Request<'_>) -> Duration {
+fn response_timeout(request: &Request<'_>) -> Duration {
     let deadline = Duration::from_millis(request.deadline_ms.unwrap_or(120_000));
-    deadline + GRACE
+    deadline + DEADLINE_GRACE
 }
 
-async fn with_limit<T, E: ToString>(
+async fn with_timeout<T, E: ToString>(
     request: &Request<'_>,
     body: impl std::future::Future<Output = Result<T, E>>,
 ) -> Result<T, CallerError> {
-    match tokio::time::timeout(time_limit(request), body).await {
-        Ok(read) => read.map_err(|err| broken(err.to_string())),
-        Err(_) => Err(broken("the body did not end in time")),
+    match tokio::time::timeout(response_timeout(request), body).await {
+        Ok(read) => read.map_err(|err| broken_error(err.to_string())),
+        Err(_) => Err(broken_error("timed out while reading the body")),
     }
 }
 
@@ -220,7 +220,7 @@
     }
 }
 
-fn broken(err: impl ToString) -> CallerError {
+fn broken_error(err: impl ToString) -> CallerError {
     CallerError::Broken {
         reason: err.to_string(),
     }
--- a/crates/local/src/fleet.rs
+++ b/crates/local/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Starting, changing and stopping a fleet on loopback.
+//! Starts, reconfigures and stops a fleet on loopback.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,22 +17,20 @@
 
 use crate::localize::localize;
 
-/// The operators' key of every local entry.
+/// Operators' key of every local entry.
 pub const OPERATOR_KEY: &str = "local-operator";
-/// The fleet's key.
 const FLEET_KEY: &[u8] = b"a fleet on loopback";
 /// How long an apply waits to be in force everywhere.
 const APPLY_WAIT_MS: u64 = 10_000;
 
-/// Between two looks at who knows whom.
-const MEMBERS_PAUSE: Duration = Duration::from_millis(20);
+const MEMBERS_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Why a local fleet does not start.
 #[derive(Debug, Snafu)]
 pub enum LocalError {
     #[snafu(display("{source}"))]
     Check { source: Faults },
-    #[snafu(display("cannot start a stand-in: {source}; check limits of open files"))]
+    #[snafu(display("cannot start a stand-in: {source}; check the limit on open files"))]
     StandIn { source: std::io::Error },
     #[snafu(display("{source}"))]
     Entry { source: StartError },
@@ -40,12 +38,12 @@
     Apply { result: ApplyResult },
 }
 
-/// What a local fleet may vary.
+/// Options of a local fleet.
 #[derive(Debug, Clone)]
 pub struct LocalOptions {
     pub entries: usize,
     pub profile: Profile,
-    /// For faults drawn at random in stand-ins.
+    /// Seed of the stand-ins' random faults.
     pub seed: u64,
     pub host_list_lag: Duration,
     pub limits: Limits,
@@ -67,7 +65,7 @@
     }
 }
 
-/// A running fleet. Entries keep their place when they are stopped.
+/// A running fleet. Stopped entries stay in `entries` as `None`.
 pub struct LocalFleet {
     pub deployment: Deployment,
     /// Files in force, with the stand-ins' addresses.
@@ -113,8 +111,8 @@
         }
     }
 
-    /// Waits until all running entries know each other and have the files in
-    /// force: a balancer would send them nothing before.
+    /// Waits until all running entries list each other and have the files in
+    /// force, as a load balancer waits for their readiness.
     pub async fn wait_for_members(&self) {
         let count = self.running().count();
         let ready = |entry: &RunningEntry| {
@@ -123,15 +121,15 @@
             present + 1 >= count && view.revision() > 0 && entry.entry.knows_peers()
         };
         while !self.running().all(ready) {
-            tokio::time::sleep(MEMBERS_PAUSE).await;
+            tokio::time::sleep(MEMBERS_POLL_INTERVAL).await;
         }
     }
 
-    /// Starts one more entry, in the halls by turns; returns its place.
+    /// Starts one more entry and returns its index; halls are assigned in rotation.
     pub async fn start_entry(&mut self) -> Result<usize, LocalError> {
-        let place = self.next_entry;
-        let hall = &self.deployment.halls[place % self.deployment.halls.len()];
-        let name = format!("entry-{}", place + 1);
+        let index = self.next_entry;
+        let hall = &self.deployment.halls[index % self.deployment.halls.len()];
+        let name = format!("entry-{}", index + 1);
         let settings = self.settings(&name, &hall.name);
         let options = StartOptions {
             timing: self.options.timing,
@@ -141,18 +139,18 @@
         let running = start(settings, options).await.context(EntrySnafu)?;
         self.entries.push(Some(running));
         self.next_entry += 1;
-        Ok(place)
+        Ok(index)
     }
 
-    /// Settings of a new entry; every running entry is a seed.
+    /// Settings of a new entry, with every running entry as a seed.
     pub fn settings(&self, name: &str, hall: &str) -> Settings {
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
         Settings {
             name: name.into(),
             hall: hall.into(),
-            callers: any,
-            peers: any,
-            operators: any,
+            callers: any_port,
+            peers: any_port,
+            operators: any_port,
             fleet_key: FLEET_KEY.to_vec(),
             seeds: self.running().map(|entry| entry.peers).collect(),
             store: Some(self.store.address),
@@ -163,19 +161,18 @@
         }
     }
 
-    /// Entries that run now.
     pub fn running(&self) -> impl Iterator<Item = &RunningEntry> {
         self.entries.iter().flatten()
     }
 
-    /// The entry at a place.
+    /// The entry at an index.
     ///
     /// # Panics
-    /// When it was stopped.
-    pub fn entry(&self, place: usize) -> &RunningEntry {
-        self.entries[place]
+    /// When the entry was stopped.
+    pub fn entry(&self, index: usize) -> &RunningEntry {
+        self.entries[index]
             .as_ref()
-            .expect("this entry was stopped")
+            .expect("the entry should be running")
     }
 
     /// Callers' addresses of all running entries.
@@ -186,54 +183,54 @@
     /// Applies files at an entry, as an operator would.
     pub async fn apply(
         &self,
-        place: usize,
+        index: usize,
         files: Vec<SourceFile>,
         base: u64,
         apply_id: &str,
     ) -> ApplyResult {
-        let request = request(files, base, apply_id, false, APPLY_WAIT_MS);
-        self.send_apply(place, request).await
+        let request = apply_request(files, base, apply_id, false, APPLY_WAIT_MS);
+        self.send_apply(index, request).await
     }
 
-    /// Applies files and does not wait until they are in force everywhere.
+    /// Applies files without waiting until they are in force everywhere.
     pub async fn apply_without_waiting(
         &self,
-        place: usize,
+        index: usize,
         files: Vec<SourceFile>,
         base: u64,
         apply_id: &str,
     ) -> ApplyResult {
-        self.send_apply(place, request(files, base, apply_id, false, 0))
+        self.send_apply(index, apply_request(files, base, apply_id, false, 0))
             .await
     }
 
-    /// Applies files again whose first apply ended in doubt.
-    pub async fn apply_again(
+    /// Resends an apply whose outcome is unknown.
+    pub async fn resend_apply(
         &self,
-        place: usize,
+        index: usize,
         files: Vec<SourceFile>,
         base: u64,
         apply_id: &str,
     ) -> ApplyResult {
-        let request = request(files, base, apply_id, true, APPLY_WAIT_MS);
-        self.send_apply(place, request).await
+        let request = apply_request(files, base, apply_id, true, APPLY_WAIT_MS);
+        self.send_apply(index, request).await
     }
 
-    async fn send_apply(&self, place: usize, request: ApplyRequest) -> ApplyResult {
-        let running = self.entry(place);
+    async fn send_apply(&self, index: usize, request: ApplyRequest) -> ApplyResult {
+        let running = self.entry(index);
         let worker = Worker::new(running.entry.clone(), running.control.clone());
         apply::apply(&worker, request).await
     }
 
-    /// Takes an entry out of the fleet, to stop or kill it.
-    pub fn take_entry(&mut self, place: usize) -> Option<RunningEntry> {
-        self.entries[place].take()
+    /// Removes an entry from the fleet, to be stopped or killed.
+    pub fn take_entry(&mut self, index: usize) -> Option<RunningEntry> {
+        self.entries[index].take()
     }
 
-    /// Ends everything at once.
+    /// Kills the entries and stops the stand-ins.
     pub async fn shut_down(mut self) {
-        for place in 0..self.entries.len() {
-            if let Some(entry) = self.take_entry(place) {
+        for index in 0..self.entries.len() {
+            if let Some(entry) = self.take_entry(index) {
                 entry.kill().await;
             }
         }
@@ -255,7 +252,7 @@
         .collect()
 }
 
-fn request(
+fn apply_request(
     files: Vec<SourceFile>,
     base: u64,
     apply_id: &str,
--- a/crates/local/src/localize.rs
+++ b/crates/local/src/localize.rs
@@ -1,4 +1,4 @@
-//! Reading a deployment's files and pointing them at stand-ins.
+//! Reads a deployment's files and replaces target addresses by those of stand-ins.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,14 +16,13 @@
     source: std::io::Error,
 }
 
-/// Reads one file.
 pub fn read_file(path: &Path) -> Result<SourceFile, ReadError> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path).context(ReadSnafu { path: &name })?;
     Ok(SourceFile { name, text })
 }
 
-/// Reads every `.ini` file of a directory, in order of name.
+/// Reads every `.ini` file of a directory, sorted by name.
 pub fn read_directory(directory: &Path) -> Result<Vec<SourceFile>, ReadError> {
     let path = directory.display().to_string();
     let mut paths = Vec::new();
@@ -37,8 +36,8 @@
     paths.iter().map(|path| read_file(path)).collect()
 }
 
-/// Replaces the addresses of targets; a file that does not parse stays as it
-/// is, for the check to name its fault.
+/// Replaces the addresses of targets. A file that does not parse is returned
+/// unchanged; the check reports its fault.
 pub fn localize(files: &[SourceFile], addresses: &HashMap<String, SocketAddr>) -> Vec<SourceFile> {
     files
         .iter()
--- a/crates/local/tests/suite/answers.rs
+++ b/crates/local/tests/suite/answers.rs
@@ -1,5 +1,5 @@
-//! Answers are whole and their own: what is crossed, cut, or of the wrong
-//! length is never handed on.
+//! Callers get complete answers to their own requests; crossed, cut or
+//! wrong-length answers of targets are never forwarded.
 
 use hollowsail_entry::ErrorKind;
 use hollowsail_local::Caller;
@@ -7,7 +7,7 @@
 use hollowsail_standins::TargetFaults;
 use serde_json::json;
 
-use crate::fixture::{self, BOTH, NORTH};
+use crate::fixture::{self, BOTH_KEY, NORTH_KEY};
 
 fn faults(change: impl FnOnce(&mut TargetFaults)) -> TargetFaults {
     let mut faults = TargetFaults::default();
@@ -15,7 +15,7 @@
     faults
 }
 
-/// Ways in which an encoder's or payment's answer is not this call's.
+/// Faults that invalidate a target's answer.
 fn broken_answers() -> Vec<(&'static str, TargetFaults)> {
     vec![
         ("crossed", faults(|f| f.cross_answers = true)),
@@ -25,28 +25,28 @@
 }
 
 #[actix_rt::test]
-async fn a_broken_answer_of_a_repeatable_stage_is_replaced_by_another_targets() {
+async fn broken_answer_is_retried_on_another_target() {
     let fleet = fixture::start(1).await;
-    let good = fixture::call(&fleet, 0, &fixture::request("read", BOTH, "good")).await;
+    let expected = fixture::call(&fleet, 0, &fixture::request("read", BOTH_KEY, "good")).await;
     for (name, faults) in broken_answers() {
         fleet.targets.set_faults("encoder-north", faults);
-        for at in 0..4 {
-            let id = format!("{name}-{at}");
-            let answer = fixture::call(&fleet, 0, &fixture::request("read", BOTH, &id)).await;
+        for number in 0..4 {
+            let id = format!("{name}-{number}");
+            let answer = fixture::call(&fleet, 0, &fixture::request("read", BOTH_KEY, &id)).await;
             assert_eq!(answer.body.outcome, Outcome::Whole, "{id}");
-            assert_eq!(answer.body.output, good.body.output, "{id}");
+            assert_eq!(answer.body.output, expected.body.output, "{id}");
         }
     }
     fleet.shut_down().await;
 }
 
 #[actix_rt::test]
-async fn a_broken_answer_of_a_stage_that_must_not_be_repeated_is_unknown_and_ran_once() {
+async fn broken_unrepeatable_answer_is_unknown() {
     let fleet = fixture::start(1).await;
     for (name, faults) in broken_answers() {
         fleet.targets.set_faults("payments-north", faults);
-        let ticket = fixture::ticket(&fleet, 0, NORTH).await;
-        let payment = fixture::payment(NORTH, name, &ticket);
+        let ticket = fixture::ticket(&fleet, 0, NORTH_KEY).await;
+        let payment = fixture::payment(NORTH_KEY, name, &ticket);
         let answer = fixture::call(&fleet, 0, &payment).await.body;
         assert_eq!(answer.outcome, Outcome::Unknown, "{name}");
         assert_eq!(answer.output, None, "{name}");
@@ -56,8 +56,7 @@
     fleet.shut_down().await;
 }
 
-/// Ways in which both engines' streams go wrong, and whether they can be
-/// mended.
+/// Faults of both engines' streams, with the expected outcome.
 fn broken_streams() -> Vec<(&'static str, TargetFaults, Outcome)> {
     vec![
         (
@@ -84,28 +83,28 @@
 }
 
 #[actix_rt::test]
-async fn a_broken_stream_is_resumed_where_it_broke_or_not_whole() {
-    // Tokens come one by one: what is cut has delivered some before.
+async fn broken_stream_resumes_or_fails() {
+    // With a delay between tokens, a cut stream has delivered some of them.
     let mut options = fixture::options(1);
     options.profile.engine.token = 2.0;
     let fleet = fixture::start_with(options).await;
-    let good = fixture::call(&fleet, 0, &fixture::request("read", BOTH, "good")).await;
+    let expected = fixture::call(&fleet, 0, &fixture::request("read", BOTH_KEY, "good")).await;
     let caller = Caller::default();
     for (name, faults, outcome) in broken_streams() {
         for target in ["llm-north", "llm-south"] {
             fleet.targets.set_faults(target, faults.clone());
         }
-        let request = fixture::request("read", BOTH, name);
+        let request = fixture::request("read", BOTH_KEY, name);
         let answer = caller
             .stream(fleet.entry(0).callers, &request)
             .await
             .expect("an answer");
         assert_eq!(answer.body.outcome, outcome, "{name}");
         if outcome == Outcome::Whole {
-            assert_eq!(answer.body.output, good.body.output, "{name}");
+            assert_eq!(answer.body.output, expected.body.output, "{name}");
             assert_eq!(
                 json!(answer.streamed),
-                good.body.output.clone().expect("one")["text"]
+                expected.body.output.clone().expect("an output")["text"]
             );
         } else {
             assert_eq!(answer.body.output, None, "{name}");
@@ -116,16 +115,16 @@
 }
 
 #[actix_rt::test]
-async fn a_stream_moved_to_another_engine_starts_anew_for_its_caller() {
+async fn stream_restarts_on_another_engine() {
     let fleet = fixture::start(1).await;
-    let good = fixture::call(&fleet, 0, &fixture::request("read", BOTH, "good")).await;
+    let expected = fixture::call(&fleet, 0, &fixture::request("read", BOTH_KEY, "good")).await;
     fleet
         .targets
         .set_faults("llm-north", faults(|f| f.drop_end_marker = true));
     let caller = Caller::default();
-    for at in 0..6 {
-        let id = format!("moved-{at}");
-        let request = fixture::request("read", BOTH, &id);
+    for number in 0..6 {
+        let id = format!("moved-{number}");
+        let request = fixture::request("read", BOTH_KEY, &id);
         let answer = caller
             .stream(fleet.entry(0).callers, &request)
             .await
@@ -133,25 +132,28 @@
         assert_eq!(answer.body.outcome, Outcome::Whole);
         assert_eq!(
             json!(answer.streamed),
-            good.body.output.clone().expect("one")["text"]
+            expected.body.output.clone().expect("an output")["text"]
         );
     }
     fleet.shut_down().await;
 }
 
 #[actix_rt::test]
-async fn concurrent_requests_each_get_their_own_output() {
+async fn concurrent_requests_get_their_own_output() {
     let fleet = fixture::start(3).await;
     let addresses = fleet.callers();
-    let calls = (0..60).map(|at| {
-        let address = addresses[at % 3];
+    let calls = (0..60).map(|number| {
+        let address = addresses[number % 3];
         async move {
             let caller = Caller::default();
-            let mut request = fixture::request("read", BOTH, "");
+            let mut request = fixture::request("read", BOTH_KEY, "");
             request.id = None;
-            request.input = json!(at % 20);
+            request.input = json!(number % 20);
             let answer = caller.call(address, &request).await.expect("an answer");
-            (at % 20, answer.body.output.expect("whole").to_string())
+            (
+                number % 20,
+                answer.body.output.expect("an output").to_string(),
+            )
         }
     });
     let answers = futures_util::future::join_all(calls).await;
--- a/crates/local/tests/suite/bad_input.rs
+++ b/crates/local/tests/suite/bad_input.rs
@@ -1,48 +1,49 @@
-//! Bad input gets a clear answer; the connection and the process go on.
+//! Bad input gets a specific error; the connection and the process survive.
 
 use hollowsail_entry::{AnswerBody, ErrorKind};
 use hollowsail_routing::Outcome;
 
-use crate::fixture::{self, BOTH};
+use crate::fixture::{self, BOTH_KEY};
 
-struct Bad<'a> {
+struct BadRequestCase<'a> {
     path: &'a str,
     key: &'a str,
     headers: &'a [(&'a str, &'a str)],
     body: String,
     kind: ErrorKind,
     /// Part of the message.
-    says: &'a str,
+    message_part: &'a str,
 }
 
-fn bad_requests() -> Vec<Bad<'static>> {
+fn bad_requests() -> Vec<BadRequestCase<'static>> {
     let good_body = || "{\"input\": 1}".to_string();
-    let bad = |headers: &'static [(&'static str, &'static str)], kind, says| Bad {
-        path: "read",
-        key: BOTH,
-        headers,
-        body: good_body(),
-        kind,
-        says,
-    };
+    let bad =
+        |headers: &'static [(&'static str, &'static str)], kind, message_part| BadRequestCase {
+            path: "read",
+            key: BOTH_KEY,
+            headers,
+            body: good_body(),
+            kind,
+            message_part,
+        };
     vec![
-        Bad {
+        BadRequestCase {
             path: "nowhere",
             ..bad(&[], ErrorKind::UnknownPipeline, "no pipeline nowhere")
         },
-        Bad {
+        BadRequestCase {
             key: "wrong",
             ..bad(&[], ErrorKind::Unauthorized, "belongs to no organisation")
         },
-        Bad {
+        BadRequestCase {
             body: format!("{{\"input\": \"{}\"}}", "x".repeat(300_000)),
             ..bad(&[], ErrorKind::BodyTooLarge, "more than 262144 bytes")
         },
-        Bad {
+        BadRequestCase {
             body: "{\"input\": ".into(),
             ..bad(&[], ErrorKind::BadRequest, "line 1 column 10")
         },
-        Bad {
+        BadRequestCase {
             body: "{\"input\": 1, \"prompt\": 2}".into(),
             ..bad(&[], ErrorKind::BadRequest, "unknown field `prompt`")
         },
@@ -66,11 +67,11 @@
             ErrorKind::BadRequest,
             "letters, digits",
         ),
-        Bad {
+        BadRequestCase {
             path: "pay",
             ..bad(&[], ErrorKind::TicketRequired, "no ticket or id")
         },
-        Bad {
+        BadRequestCase {
             path: "pay",
             ..bad(
                 &[("hollowsail-ticket", "AAAA")],
@@ -78,7 +79,7 @@
                 "too short",
             )
         },
-        Bad {
+        BadRequestCase {
             path: "pay",
             ..bad(
                 &[("idempotency-key", "a")],
@@ -90,7 +91,7 @@
 }
 
 #[actix_rt::test]
-async fn each_bad_request_is_refused_by_name_and_a_good_one_follows_on_the_same_connection() {
+async fn bad_requests_are_refused_by_kind() {
     let fleet = fixture::start(1).await;
     let address = fleet.entry(0).callers;
     let client = awc::Client::default();
@@ -109,16 +110,16 @@
         assert_eq!(status, bad.kind.answer().status);
         assert_eq!(answer.outcome, Outcome::NotRun);
         let message = answer.message.expect("a message");
-        assert!(message.contains(bad.says), "{message}");
+        assert!(message.contains(bad.message_part), "{message}");
     }
     assert!(fleet.targets.log.all().is_empty(), "nothing ran");
-    let good = fixture::call(&fleet, 0, &fixture::request("read", BOTH, "good")).await;
+    let good = fixture::call(&fleet, 0, &fixture::request("read", BOTH_KEY, "good")).await;
     assert_eq!(good.body.outcome, Outcome::Whole);
     fleet.shut_down().await;
 }
 
 #[actix_rt::test]
-async fn operators_and_peers_must_show_their_keys() {
+async fn operators_and_peers_need_their_keys() {
     let fleet = fixture::start(1).await;
     let entry = fleet.entry(0);
     let client = awc::Client::default();
--- a/crates/local/tests/suite/configuration.rs
+++ b/crates/local/tests/suite/configuration.rs
@@ -1,4 +1,4 @@
-//! An accepted configuration is in force everywhere and never goes back.
+//! An accepted configuration comes into force at every entry and is never reverted.
 
 use futures_util::future::join_all;
 use hollowsail_config::SourceFile;
@@ -9,12 +9,12 @@
 use hollowsail_routing::Outcome;
 use hollowsail_standins::StoreFaults;
 
-use crate::fixture::{self, BOTH};
+use crate::fixture::{self, BOTH_KEY};
 
-/// The files in force with a comment that makes them differ.
-fn changed(fleet: &LocalFleet, mark: &str) -> Vec<SourceFile> {
+/// The files in force with an added comment.
+fn files_with_comment(fleet: &LocalFleet, comment: &str) -> Vec<SourceFile> {
     let mut files = fleet.files.clone();
-    files[0].text += &format!("\n; {mark}\n");
+    files[0].text += &format!("\n; {comment}\n");
     files
 }
 
@@ -30,10 +30,10 @@
 }
 
 #[actix_rt::test]
-async fn an_apply_returns_when_every_entry_has_it_in_force() {
+async fn apply_returns_once_in_force_everywhere() {
     let mut fleet = fixture::start(4).await;
     for round in 0..5 {
-        let files = changed(&fleet, &format!("round {round}"));
+        let files = files_with_comment(&fleet, &format!("round {round}"));
         fixture::apply(&mut fleet, files).await;
         assert_eq!(revisions(&fleet), [round + 2; 4]);
     }
@@ -41,26 +41,26 @@
 }
 
 #[actix_rt::test]
-async fn of_racing_applies_one_is_accepted_and_the_others_see_what_differs() {
+async fn one_of_concurrent_applies_is_accepted() {
     let fleet = fixture::start(3).await;
-    let applies = (0..3).map(|place| {
-        let files = changed(&fleet, &format!("operator {place}"));
+    let applies = (0..3).map(|index| {
+        let files = files_with_comment(&fleet, &format!("operator {index}"));
         let fleet = &fleet;
-        async move { fleet.apply(place, files, 1, &format!("race-{place}")).await }
+        async move { fleet.apply(index, files, 1, &format!("race-{index}")).await }
     });
     let results = join_all(applies).await;
     let accepted = results
         .iter()
         .filter(|r| matches!(r, ApplyResult::Accepted { revision: 2, .. }));
-    let lost = results.iter().filter(|r| {
+    let conflicts = results.iter().filter(|r| {
         matches!(r, ApplyResult::Conflict { in_force: 2, differs_in, .. } if differs_in == &["small.ini"])
     });
-    assert_eq!((accepted.count(), lost.count()), (1, 2), "{results:?}");
+    assert_eq!((accepted.count(), conflicts.count()), (1, 2), "{results:?}");
     fleet.shut_down().await;
 }
 
 #[actix_rt::test]
-async fn a_file_with_faults_changes_nothing() {
+async fn faulty_file_changes_nothing() {
     let fleet = fixture::start(2).await;
     let mut files = fleet.files.clone();
     files[0].text += "\n[hall.east]\nregoin = one\n";
@@ -71,14 +71,14 @@
 }
 
 #[actix_rt::test]
-async fn an_apply_whose_answers_are_lost_is_accepted_once() {
+async fn apply_with_lost_answers_is_accepted_once() {
     let fleet = fixture::start(2).await;
     fleet.store.set_faults(StoreFaults {
         lose_answers: 0.6,
         ..StoreFaults::default()
     });
     for base in 1..6 {
-        let files = changed(&fleet, &format!("on {base}"));
+        let files = files_with_comment(&fleet, &format!("on {base}"));
         let id = format!("id-{base}");
         let mut result = fleet.apply(0, files.clone(), base, &id).await;
         while !matches!(result, ApplyResult::Accepted { .. }) {
@@ -89,7 +89,7 @@
                 ),
                 "{result:?}"
             );
-            result = fleet.apply_again(1, files.clone(), base, &id).await;
+            result = fleet.resend_apply(1, files.clone(), base, &id).await;
         }
         let expected = ApplyResult::Accepted {
             revision: base + 1,
@@ -101,74 +101,80 @@
 }
 
 #[actix_rt::test]
-async fn an_apply_id_used_for_other_files_is_a_conflict() {
+async fn reused_apply_id_is_a_conflict() {
     let fleet = fixture::start(1).await;
-    let first = fleet.apply(0, changed(&fleet, "one"), 1, "same").await;
+    let first = fleet
+        .apply(0, files_with_comment(&fleet, "one"), 1, "same")
+        .await;
     assert!(matches!(first, ApplyResult::Accepted { .. }));
-    let second = fleet.apply(0, changed(&fleet, "two"), 2, "same").await;
+    let second = fleet
+        .apply(0, files_with_comment(&fleet, "two"), 2, "same")
+        .await;
     assert!(matches!(second, ApplyResult::Conflict { .. }), "{second:?}");
     assert_eq!(revisions(&fleet), [2]);
     fleet.shut_down().await;
 }
 
 #[actix_rt::test]
-async fn with_the_store_down_an_apply_changes_nothing_and_traffic_goes_on() {
+async fn store_outage_fails_applies_but_not_requests() {
     let fleet = fixture::start(2).await;
     fleet.store.set_faults(down());
-    let result = fleet.apply(0, changed(&fleet, "down"), 1, "down").await;
+    let result = fleet
+        .apply(0, files_with_comment(&fleet, "down"), 1, "down")
+        .await;
     assert!(
         matches!(result, ApplyResult::Unavailable { .. }),
         "{result:?}"
     );
-    let answer = fixture::call(&fleet, 1, &fixture::request("read", BOTH, "on")).await;
+    let answer = fixture::call(&fleet, 1, &fixture::request("read", BOTH_KEY, "on")).await;
     assert_eq!(answer.body.outcome, Outcome::Whole);
     fleet.shut_down().await;
 }
 
 #[actix_rt::test]
-async fn a_new_entry_learns_the_configuration_from_peers_while_the_store_is_down() {
+async fn new_entry_gets_configuration_from_peers() {
     let mut fleet = fixture::start(2).await;
-    let files = changed(&fleet, "second");
+    let files = files_with_comment(&fleet, "second");
     fixture::apply(&mut fleet, files).await;
     fleet.store.set_faults(down());
-    let place = fleet.start_entry().await.expect("it starts");
-    let entry = fleet.entry(place).entry.clone();
-    fixture::wait_until("it has revision 2", || entry.view().revision() == 2).await;
-    let answer = fixture::call(&fleet, place, &fixture::request("read", BOTH, "new")).await;
+    let index = fleet.start_entry().await.expect("the entry starts");
+    let entry = fleet.entry(index).entry.clone();
+    fixture::wait_until("the entry has revision 2", || entry.view().revision() == 2).await;
+    let answer = fixture::call(&fleet, index, &fixture::request("read", BOTH_KEY, "new")).await;
     assert_eq!(answer.body.outcome, Outcome::Whole);
     fleet.shut_down().await;
 }
 
 #[actix_rt::test]
-async fn an_entry_without_any_configuration_refuses_and_says_so() {
+async fn entry_without_configuration_refuses() {
     let mut fleet = fixture::start(1).await;
-    fleet.take_entry(0).expect("it runs").kill().await;
+    fleet.take_entry(0).expect("the entry runs").kill().await;
     fleet.store.set_faults(down());
-    let place = fleet.start_entry().await.expect("it starts");
-    let answer = fixture::call(&fleet, place, &fixture::request("read", BOTH, "early")).await;
+    let index = fleet.start_entry().await.expect("the entry starts");
+    let answer = fixture::call(&fleet, index, &fixture::request("read", BOTH_KEY, "early")).await;
     assert_eq!(answer.body.kind, Some(ErrorKind::NoConfiguration));
     assert_eq!(answer.body.outcome, Outcome::NotRun);
     fleet.shut_down().await;
 }
 
 #[actix_rt::test]
-async fn a_store_that_went_back_reverts_nobody() {
+async fn restored_store_reverts_no_entry() {
     let mut fleet = fixture::start(3).await;
     let old_head = fleet.store.read(HEAD_KEY).expect("a head");
-    for mark in ["second", "third"] {
-        let files = changed(&fleet, mark);
+    for comment in ["second", "third"] {
+        let files = files_with_comment(&fleet, comment);
         fixture::apply(&mut fleet, files).await;
     }
     let (reads, _) = fleet.store.calls();
     fleet.store.overwrite(HEAD_KEY, old_head);
-    fixture::wait_until("the watchers have read it", || {
+    fixture::wait_until("the watchers have read the old head", || {
         fleet.store.calls().0 >= reads + 4
     })
     .await;
     assert_eq!(revisions(&fleet), [3, 3, 3]);
-    let place = fleet.start_entry().await.expect("it starts");
-    let entry = fleet.entry(place).entry.clone();
-    fixture::wait_until("a new entry has the newest", || {
+    let index = fleet.start_entry().await.expect("the entry starts");
+    let entry = fleet.entry(index).entry.clone();
+    fixture::wait_until("a new entry has the newest revision", || {
         entry.view().revision() == 3
     })
     .await;
@@ -176,24 +182,24 @@
 }
 
 #[actix_rt::test]
-async fn an_entry_cut_off_from_store_and_peers_takes_no_new_work() {
+async fn isolated_entry_refuses_new_work() {
     let mut fleet = fixture::start(2).await;
     fleet.store.set_faults(down());
-    let answer = fixture::call(&fleet, 0, &fixture::request("read", BOTH, "with peer")).await;
-    assert_eq!(answer.status, 400, "ids have no spaces");
-    let answer = fixture::call(&fleet, 0, &fixture::request("read", BOTH, "with-peer")).await;
+    let answer = fixture::call(&fleet, 0, &fixture::request("read", BOTH_KEY, "with peer")).await;
+    assert_eq!(answer.status, 400, "ids with spaces are refused");
+    let answer = fixture::call(&fleet, 0, &fixture::request("read", BOTH_KEY, "with-peer")).await;
     assert_eq!(answer.body.outcome, Outcome::Whole);
-    fleet.take_entry(1).expect("it runs").kill().await;
+    fleet.take_entry(1).expect("the entry runs").kill().await;
     let entry = fleet.entry(0).entry.clone();
-    fixture::wait_until("it is isolated", || {
+    fixture::wait_until("the entry is isolated", || {
         entry.view().standing == hollowsail_fleet::Standing::Isolated
     })
     .await;
-    let answer = fixture::call(&fleet, 0, &fixture::request("read", BOTH, "cut")).await;
+    let answer = fixture::call(&fleet, 0, &fixture::request("read", BOTH_KEY, "cut")).await;
     assert_eq!(answer.body.kind, Some(ErrorKind::Isolated));
     assert_eq!(answer.body.outcome, Outcome::NotRun);
     fleet.store.set_faults(StoreFaults::default());
-    fixture::wait_until("it is in touch again", || {
+    fixture::wait_until("the entry is connected again", || {
         entry.view().standing == hollowsail_fleet::Standing::InTouch
     })
     .await;
@@ -201,7 +207,7 @@
 }
 
 #[actix_rt::test]
-async fn a_store_that_comes_back_is_asked_by_a_few_watchers_alone() {
+async fn recovered_store_gets_few_calls() {
     let entries = 6;
     let fleet = fixture::start(entries).await;
     // Two watchers in each of the two halls.
@@ -211,19 +217,22 @@
         let (reads, writes) = fleet.store.calls();
         reads + writes
     };
-    // Long enough for pauses to have grown; calls to a dead store count not.
+    // Lets the watchers' backoff grow; calls to a store that is down aren't counted.
     actix_rt::time::sleep(std::time::Duration::from_millis(3_000)).await;
     let before = calls();
     fleet.store.set_faults(StoreFaults::default());
-    fixture::wait_until("every watcher has asked", || calls() >= before + watchers).await;
+    fixture::wait_until("every watcher has called", || calls() >= before + watchers).await;
     actix_rt::time::sleep(std::time::Duration::from_millis(1_000)).await;
-    let asked = calls() - before;
-    assert!(asked <= 2 * watchers, "{asked} calls of {entries} entries");
+    let new_calls = calls() - before;
+    assert!(
+        new_calls <= 2 * watchers,
+        "{new_calls} calls from {entries} entries"
+    );
     fleet.shut_down().await;
 }
 
 #[actix_rt::test]
-async fn an_entry_that_has_only_the_store_stays_in_touch_between_its_answers() {
+async fn single_entry_stays_connected_between_polls() {
     let mut options = fixture::options(1);
     options.limits.isolation_ms = 4_000;
     let fleet = fixture::start_with(options).await;
--- a/crates/local/tests/suite/fixture.rs
+++ b/crates/local/tests/suite/fixture.rs
@@ -1,4 +1,4 @@
-//! A small deployment and the steps that most tests share.
+//! A small deployment and steps shared by the tests.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,18 +10,17 @@
 use hollowsail_entry::apply::ApplyResult;
 use hollowsail_fleet::FleetTiming;
 use hollowsail_local::caller::Request;
-use hollowsail_local::{localize, Answered, Caller, LocalFleet, LocalOptions, Once};
+use hollowsail_local::{localize, Caller, LocalFleet, LocalOptions, Once, Response};
 use hollowsail_standins::Profile;
 use serde_json::json;
 
-/// Organisation permitted in both halls.
-pub const BOTH: &str = "key-both";
-/// Organisation permitted in the north alone.
-pub const NORTH: &str = "key-north";
-/// Longest wait for something that must come about.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Key of an organisation permitted in both halls.
+pub const BOTH_KEY: &str = "key-both";
+/// Key of an organisation permitted only in the north.
+pub const NORTH_KEY: &str = "key-north";
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Two halls; two targets of each service, one in each hall.
+/// Files of a deployment with two halls and one target of each service in each hall.
 pub fn files() -> Vec<SourceFile> {
     let mut text = String::from(
         "[deployment]\nname = small\n[hall.north]\nregion = one\n[hall.south]\nregion = one\n",
@@ -33,10 +32,10 @@
         ("payments", "plain", "429"),
     ] {
         text += &format!("[service.{service}]\nkind = {kind}\nfinal_refusals = {refusals}\n");
-        for (at, hall) in ["north", "south"].iter().enumerate() {
+        for (index, hall) in ["north", "south"].iter().enumerate() {
             text += &format!(
                 "[target.{service}-{hall}]\nservice = {service}\nhall = {hall}\naddress = 127.0.0.1:{}\n",
-                at + 1
+                index + 1
             );
         }
     }
@@ -48,7 +47,10 @@
     text += "[stage.pay.encode]\nservice = encoder\n";
     text += "[stage.pay.retrieve]\nservice = retriever\n";
     text += "[stage.pay.confirm]\nservice = payments\nrepeatable = no\n";
-    for (name, halls, key) in [("both", "north, south", BOTH), ("northern", "north", NORTH)] {
+    for (name, halls, key) in [
+        ("both", "north, south", BOTH_KEY),
+        ("northern", "north", NORTH_KEY),
+    ] {
         let hash = hex::encode(hash_key(key));
         text += &format!("[organisation.{name}]\nhalls = {halls}\nkey_sha256 = {hash}\n");
     }
@@ -58,7 +60,7 @@
     }]
 }
 
-/// Options with short times and few threads.
+/// Options with short timeouts and one thread per entry.
 pub fn options(entries: usize) -> LocalOptions {
     LocalOptions {
         entries,
@@ -79,75 +81,75 @@
     }
 }
 
-/// A small fleet; entries stand in north, south, north, ...
+/// Starts a small fleet, with entries in north, south, north and so on.
 pub async fn start(entries: usize) -> LocalFleet {
     start_with(options(entries)).await
 }
 
-/// A small fleet with other options.
+/// Starts a small fleet with the given options.
 pub async fn start_with(options: LocalOptions) -> LocalFleet {
     LocalFleet::start(&files(), options)
         .await
-        .expect("it starts")
+        .expect("the fleet starts")
 }
 
-/// Waits until a condition holds; panics when it never does.
-pub async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+/// Waits until a condition holds; panics on timeout.
+pub async fn wait_until(condition: &str, mut holds: impl FnMut() -> bool) {
+    let end = Instant::now() + CONDITION_TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < end, "never came about: {what}");
+        assert!(Instant::now() < end, "timed out waiting until {condition}");
         actix_rt::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
-/// A request with an id, to find it again in the record of executions.
+/// A request with an id, which identifies it in the execution log.
 pub fn request<'a>(pipeline: &'a str, key: &'a str, id: &'a str) -> Request<'a> {
     let mut request = Request::new(pipeline, key, json!("input"));
     request.id = Some(id);
     request
 }
 
-/// A payment under a ticket.
+/// A payment request with a ticket.
 pub fn payment<'a>(key: &'a str, id: &'a str, ticket: &str) -> Request<'a> {
     let mut request = request("pay", key, id);
     request.once = Once::Ticket(ticket.into());
     request
 }
 
-/// Calls an entry; the answer must arrive.
-pub async fn call(fleet: &LocalFleet, place: usize, request: &Request<'_>) -> Answered {
+/// Calls an entry; panics without a complete answer.
+pub async fn call(fleet: &LocalFleet, index: usize, request: &Request<'_>) -> Response {
     Caller::default()
-        .call(fleet.entry(place).callers, request)
+        .call(fleet.entry(index).callers, request)
         .await
         .expect("an answer arrives")
 }
 
 /// Gets one ticket.
-pub async fn ticket(fleet: &LocalFleet, place: usize, key: &str) -> String {
+pub async fn ticket(fleet: &LocalFleet, index: usize, key: &str) -> String {
     let tickets = Caller::default()
-        .tickets(fleet.entry(place).callers, key, 1)
+        .tickets(fleet.entry(index).callers, key, 1)
         .await;
     tickets.expect("a ticket").pop().expect("one ticket")
 }
 
-/// Executions of a stage of a request, at any target.
+/// Number of executions of a request's stage, over all targets.
 pub fn executions(fleet: &LocalFleet, request: &str, stage: &str) -> usize {
     fleet.targets.log.count(request, stage)
 }
 
-/// Applies the files in force with one target moved to another address.
+/// Applies the files in force with a new address of one target.
 pub async fn move_target(fleet: &mut LocalFleet, name: &str, address: SocketAddr) {
     let addresses = HashMap::from([(name.to_string(), address)]);
     let files = localize(&fleet.files, &addresses);
     apply(fleet, files).await;
 }
 
-/// Applies files on the revision in force; they must be accepted everywhere.
+/// Applies files on the revision in force; panics unless every entry has them in force.
 pub async fn apply(fleet: &mut LocalFleet, files: Vec<SourceFile>) {
     let base = fleet
         .running()
         .next()
-        .expect("one runs")
+        .expect("an entry runs")
         .entry
         .view()
         .revision();
@@ -162,7 +164,7 @@
     fleet.files = files;
 }
 
-/// Milliseconds since 1970, for callers' own ids.
+/// Unix time in milliseconds, for callers' own ids.
 pub fn wall_clock_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/local/tests/suite/places.rs
+++ b/crates/local/tests/suite/halls.rs
@@ -1,4 +1,4 @@
-//! An organisation's data is handled in its permitted halls alone.
+//! An organisation's requests run only in its permitted halls.
 
 use hollowsail_config::SourceFile;
 use hollowsail_entry::ErrorKind;
@@ -6,7 +6,7 @@
 use hollowsail_routing::Outcome;
 use hollowsail_standins::TargetFaults;
 
-use crate::fixture::{self, BOTH, NORTH};
+use crate::fixture::{self, BOTH_KEY, NORTH_KEY};
 
 fn halls_of(fleet: &LocalFleet, org: &str) -> Vec<String> {
     let mut halls: Vec<String> = fleet
@@ -22,7 +22,7 @@
     halls
 }
 
-/// The files with the organisation `both` permitted in the south alone.
+/// The files with the organisation `both` permitted only in the south.
 fn both_in_south(files: &[SourceFile]) -> Vec<SourceFile> {
     let mut files = files.to_vec();
     files[0].text = files[0].text.replace("halls=north, south", "halls=south");
@@ -30,11 +30,11 @@
 }
 
 #[actix_rt::test]
-async fn an_entry_in_another_hall_passes_the_request_on() {
+async fn request_is_relayed_to_a_permitted_hall() {
     let fleet = fixture::start(2).await;
-    for at in 0..10 {
-        let id = format!("passed-{at}");
-        let answer = fixture::call(&fleet, 1, &fixture::request("read", NORTH, &id)).await;
+    for index in 0..10 {
+        let id = format!("passed-{index}");
+        let answer = fixture::call(&fleet, 1, &fixture::request("read", NORTH_KEY, &id)).await;
         assert_eq!(answer.body.outcome, Outcome::Whole, "{:?}", answer.body);
     }
     assert_eq!(halls_of(&fleet, "northern"), ["north"]);
@@ -42,29 +42,29 @@
 }
 
 #[actix_rt::test]
-async fn a_stream_passes_through_an_entry_in_another_hall() {
+async fn stream_is_relayed_from_a_permitted_hall() {
     let fleet = fixture::start(2).await;
-    let request = fixture::request("read", NORTH, "stream");
-    let here = Caller::default()
+    let request = fixture::request("read", NORTH_KEY, "stream");
+    let direct = Caller::default()
         .stream(fleet.entry(0).callers, &request)
         .await
-        .expect("one");
-    let there = Caller::default()
+        .expect("an answer");
+    let relayed = Caller::default()
         .stream(fleet.entry(1).callers, &request)
         .await
-        .expect("one");
-    assert_eq!(there.body.outcome, Outcome::Whole);
-    assert_eq!(there.streamed, here.streamed);
+        .expect("an answer");
+    assert_eq!(relayed.body.outcome, Outcome::Whole);
+    assert_eq!(relayed.streamed, direct.streamed);
     fleet.shut_down().await;
 }
 
 #[actix_rt::test]
-async fn tickets_come_from_a_permitted_hall_and_work_through_any_entry() {
+async fn ticket_from_permitted_hall_works_at_any_entry() {
     let fleet = fixture::start(2).await;
-    let ticket = fixture::ticket(&fleet, 1, NORTH).await;
-    let payment = fixture::payment(NORTH, "far", &ticket);
-    for place in [1, 0, 1] {
-        let answer = fixture::call(&fleet, place, &payment).await.body;
+    let ticket = fixture::ticket(&fleet, 1, NORTH_KEY).await;
+    let payment = fixture::payment(NORTH_KEY, "far", &ticket);
+    for index in [1, 0, 1] {
+        let answer = fixture::call(&fleet, index, &payment).await.body;
         assert_eq!(answer.outcome, Outcome::Whole, "{answer:?}");
     }
     assert_eq!(fixture::executions(&fleet, "far", "confirm"), 1);
@@ -73,10 +73,10 @@
 }
 
 #[actix_rt::test]
-async fn without_a_permitted_entry_the_request_is_refused_and_not_run() {
+async fn no_permitted_entry_refuses_without_running() {
     let mut fleet = fixture::start(2).await;
-    fleet.take_entry(0).expect("it runs").kill().await;
-    let answer = fixture::call(&fleet, 1, &fixture::request("read", NORTH, "cut-off")).await;
+    fleet.take_entry(0).expect("the entry runs").kill().await;
+    let answer = fixture::call(&fleet, 1, &fixture::request("read", NORTH_KEY, "cut-off")).await;
     assert_eq!(answer.body.kind, Some(ErrorKind::NoPermittedEntry));
     assert_eq!(answer.body.outcome, Outcome::NotRun);
     assert!(fleet.targets.log.all().is_empty());
@@ -84,30 +84,30 @@
 }
 
 #[actix_rt::test]
-async fn without_a_permitted_target_the_request_is_refused_though_others_live() {
+async fn no_permitted_target_refuses_without_running() {
     let fleet = fixture::start(1).await;
-    let leaving = TargetFaults {
+    let draining = TargetFaults {
         leaving: true,
         ..TargetFaults::default()
     };
-    fleet.targets.set_faults("encoder-north", leaving);
-    let answer = fixture::call(&fleet, 0, &fixture::request("read", NORTH, "alone")).await;
+    fleet.targets.set_faults("encoder-north", draining);
+    let answer = fixture::call(&fleet, 0, &fixture::request("read", NORTH_KEY, "alone")).await;
     assert_eq!(answer.body.outcome, Outcome::NotRun);
     assert!(
         fleet.targets.log.all().is_empty(),
-        "the south was not asked"
+        "the south must get no call"
     );
     fleet.shut_down().await;
 }
 
 #[actix_rt::test]
-async fn a_hall_taken_away_while_a_request_runs_gets_none_of_its_later_stages() {
+async fn revoked_hall_gets_no_later_stages() {
     let mut options = fixture::options(2);
     options.profile.encoder_ms = 600.0;
     let mut fleet = fixture::start_with(options).await;
     let address = fleet.entry(0).callers;
     let running = actix_rt::spawn(async move {
-        let request = fixture::request("read", BOTH, "moving");
+        let request = fixture::request("read", BOTH_KEY, "moving");
         Caller::default()
             .call(address, &request)
             .await
@@ -134,22 +134,22 @@
 }
 
 #[actix_rt::test]
-async fn from_another_hall_a_ticket_or_id_finds_its_owner_among_several_permitted_entries() {
+async fn owner_is_found_from_another_hall() {
     let fleet = fixture::start(4).await;
     for round in 0..6 {
-        let ticket = fixture::ticket(&fleet, 1, NORTH).await;
+        let ticket = fixture::ticket(&fleet, 1, NORTH_KEY).await;
         let id = format!("ticket-{round}");
-        let payment = fixture::payment(NORTH, &id, &ticket);
-        for place in [1, 3, 1] {
-            let answer = fixture::call(&fleet, place, &payment).await.body;
+        let payment = fixture::payment(NORTH_KEY, &id, &ticket);
+        for index in [1, 3, 1] {
+            let answer = fixture::call(&fleet, index, &payment).await.body;
             assert_eq!(answer.outcome, Outcome::Whole, "{answer:?}");
         }
         assert_eq!(fixture::executions(&fleet, &id, "confirm"), 1);
         let id = format!("own-{round}");
-        let mut own = fixture::request("pay", NORTH, &id);
-        own.once = Once::Id(id.clone(), fixture::wall_clock_ms());
-        for place in [1, 3, 1] {
-            let answer = fixture::call(&fleet, place, &own).await.body;
+        let mut own_id = fixture::request("pay", NORTH_KEY, &id);
+        own_id.once = Once::Id(id.clone(), fixture::wall_clock_ms());
+        for index in [1, 3, 1] {
+            let answer = fixture::call(&fleet, index, &own_id).await.body;
             assert_eq!(answer.outcome, Outcome::Whole, "{answer:?}");
         }
         assert_eq!(fixture::executions(&fleet, &id, "confirm"), 1);
--- a/crates/local/tests/suite/main.rs
+++ b/crates/local/tests/suite/main.rs
@@ -1,15 +1,15 @@
-//! A fleet on loopback, tried as its callers and operators would.
+//! Tests of a fleet on loopback, through its callers' and operators' interfaces.
 
 mod answers;
 mod bad_input;
 mod configuration;
-mod crashing;
+mod crashing_requests;
+mod draining;
 mod fixture;
-mod leaving;
-mod once;
+mod halls;
+mod not_run;
 mod pipelines;
-mod places;
 mod raw_target;
+mod run_once;
 mod stopping;
 mod tls;
-mod truth;
--- a/crates/local/tests/suite/truth.rs
+++ b/crates/local/tests/suite/not_run.rs
@@ -1,4 +1,4 @@
-//! "Not run" is said only when it is certain, whatever a target does.
+//! Answers report "not run" only when it is certain, whatever a target does.
 
 use std::collections::HashSet;
 use std::net::TcpListener;
@@ -8,7 +8,7 @@
 use hollowsail_routing::{Outcome, StageStatus};
 use hollowsail_standins::TargetFaults;
 
-use crate::fixture::{self, BOTH, NORTH};
+use crate::fixture::{self, BOTH_KEY, NORTH_KEY};
 use crate::raw_target::{good_answer, Behaviour, RawTarget};
 
 fn status(answer: &AnswerBody, stage: &str) -> StageStatus {
@@ -16,16 +16,16 @@
     report.expect("the stage is reported").status
 }
 
-/// Pays in the north, where the only payment target is the given one.
+/// Sends a payment to the north, with `target` as its only payment target.
 async fn pay_at(fleet: &mut LocalFleet, target: &RawTarget, id: &str) -> AnswerBody {
     fixture::move_target(fleet, "payments-north", target.address).await;
-    let ticket = fixture::ticket(fleet, 0, NORTH).await;
-    let payment = fixture::payment(NORTH, id, &ticket);
+    let ticket = fixture::ticket(fleet, 0, NORTH_KEY).await;
+    let payment = fixture::payment(NORTH_KEY, id, &ticket);
     fixture::call(fleet, 0, &payment).await.body
 }
 
 #[actix_rt::test]
-async fn a_target_that_dies_at_any_byte_of_the_request_leaves_the_stage_unknown_and_gets_it_once() {
+async fn close_during_request_leaves_stage_unknown() {
     let mut fleet = fixture::start(1).await;
     for bytes in [0, 1, 20, 200, 350, 500] {
         let target = RawTarget::start(Behaviour::CloseAfterReading(bytes)).await;
@@ -40,7 +40,7 @@
 }
 
 #[actix_rt::test]
-async fn a_target_that_dies_at_any_byte_of_the_answer_leaves_the_stage_unknown_and_gets_it_once() {
+async fn close_during_answer_leaves_stage_unknown() {
     let mut fleet = fixture::start(1).await;
     let whole = good_answer("not the dispatch that was sent");
     for bytes in [0, 1, 17, 60, whole.len() - 1, whole.len()] {
@@ -56,14 +56,14 @@
 }
 
 #[actix_rt::test]
-async fn a_refused_dial_is_not_run() {
+async fn refused_connection_counts_as_not_run() {
     let mut fleet = fixture::start(1).await;
     let closed = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = closed.local_addr().expect("an address");
     drop(closed);
     fixture::move_target(&mut fleet, "payments-north", address).await;
-    let ticket = fixture::ticket(&fleet, 0, NORTH).await;
-    let payment = fixture::payment(NORTH, "refused", &ticket);
+    let ticket = fixture::ticket(&fleet, 0, NORTH_KEY).await;
+    let payment = fixture::payment(NORTH_KEY, "refused", &ticket);
     let answer = fixture::call(&fleet, 0, &payment).await.body;
     assert_eq!(status(&answer, "confirm"), StageStatus::NotRun);
     assert_eq!(answer.outcome, Outcome::Unknown, "earlier stages ran");
@@ -75,7 +75,7 @@
 }
 
 #[actix_rt::test]
-async fn a_refusal_counts_as_not_run_only_where_it_is_declared_final() {
+async fn only_final_refusals_count_as_not_run() {
     let fleet = fixture::start(1).await;
     for (refusal, expected) in [(429, StageStatus::NotRun), (500, StageStatus::Unknown)] {
         let faults = TargetFaults {
@@ -83,9 +83,9 @@
             ..TargetFaults::default()
         };
         fleet.targets.set_faults("payments-north", faults);
-        let ticket = fixture::ticket(&fleet, 0, NORTH).await;
+        let ticket = fixture::ticket(&fleet, 0, NORTH_KEY).await;
         let id = format!("refused-{refusal}");
-        let payment = fixture::payment(NORTH, &id, &ticket);
+        let payment = fixture::payment(NORTH_KEY, &id, &ticket);
         let answer = fixture::call(&fleet, 0, &payment).await.body;
         assert_eq!(status(&answer, "confirm"), expected, "{refusal}");
         assert_eq!(fixture::executions(&fleet, &id, "confirm"), 0);
@@ -94,17 +94,17 @@
 }
 
 #[actix_rt::test]
-async fn a_final_refusal_lets_another_target_run_what_must_not_be_repeated() {
+async fn final_refusal_moves_stage_to_another_target() {
     let fleet = fixture::start(1).await;
     let faults = TargetFaults {
         refuse: Some(429),
         ..TargetFaults::default()
     };
     fleet.targets.set_faults("payments-north", faults);
-    for at in 0..4 {
-        let ticket = fixture::ticket(&fleet, 0, BOTH).await;
-        let id = format!("elsewhere-{at}");
-        let payment = fixture::payment(BOTH, &id, &ticket);
+    for index in 0..4 {
+        let ticket = fixture::ticket(&fleet, 0, BOTH_KEY).await;
+        let id = format!("elsewhere-{index}");
+        let payment = fixture::payment(BOTH_KEY, &id, &ticket);
         let answer = fixture::call(&fleet, 0, &payment).await.body;
         assert_eq!(answer.outcome, Outcome::Whole);
         assert_eq!(fixture::executions(&fleet, &id, "confirm"), 1);
@@ -113,15 +113,15 @@
 }
 
 #[actix_rt::test]
-async fn a_redirect_is_not_followed() {
+async fn redirect_is_not_followed() {
     let fleet = fixture::start(1).await;
     let faults = TargetFaults {
         redirect: Some(fleet.targets.addresses["payments-south"]),
         ..TargetFaults::default()
     };
     fleet.targets.set_faults("payments-north", faults);
-    let ticket = fixture::ticket(&fleet, 0, NORTH).await;
-    let payment = fixture::payment(NORTH, "redirected", &ticket);
+    let ticket = fixture::ticket(&fleet, 0, NORTH_KEY).await;
+    let payment = fixture::payment(NORTH_KEY, "redirected", &ticket);
     let answer = fixture::call(&fleet, 0, &payment).await.body;
     assert_eq!(status(&answer, "confirm"), StageStatus::Unknown);
     assert_eq!(fixture::executions(&fleet, "redirected", "confirm"), 0);
@@ -129,13 +129,13 @@
 }
 
 #[actix_rt::test]
-async fn the_client_never_resends_by_itself_on_a_connection_that_was_closed() {
+async fn closed_connection_causes_no_resend() {
     let mut fleet = fixture::start(1).await;
     let target = RawTarget::start(Behaviour::CloseReused).await;
     fixture::move_target(&mut fleet, "encoder-north", target.address).await;
-    for at in 0..8 {
-        let id = format!("pooled-{at}");
-        let request = fixture::request("read", NORTH, &id);
+    for index in 0..8 {
+        let id = format!("pooled-{index}");
+        let request = fixture::request("read", NORTH_KEY, &id);
         fixture::call(&fleet, 0, &request).await;
     }
     let dispatches = target.dispatches();
@@ -153,14 +153,14 @@
 }
 
 #[actix_rt::test]
-async fn a_call_that_must_not_be_repeated_never_uses_a_connection_again() {
+async fn unrepeatable_calls_use_new_connections() {
     let mut fleet = fixture::start(1).await;
     let target = RawTarget::start(Behaviour::CloseReused).await;
     fixture::move_target(&mut fleet, "payments-north", target.address).await;
-    for at in 0..4 {
-        let ticket = fixture::ticket(&fleet, 0, NORTH).await;
-        let id = format!("fresh-{at}");
-        let payment = fixture::payment(NORTH, &id, &ticket);
+    for index in 0..4 {
+        let ticket = fixture::ticket(&fleet, 0, NORTH_KEY).await;
+        let id = format!("fresh-{index}");
+        let payment = fixture::payment(NORTH_KEY, &id, &ticket);
         let answer = fixture::call(&fleet, 0, &payment).await.body;
         assert_eq!(answer.outcome, Outcome::Whole, "{answer:?}");
     }
@@ -169,7 +169,7 @@
 }
 
 #[actix_rt::test]
-async fn a_request_that_no_target_may_serve_is_not_run_and_says_when_to_come_back() {
+async fn no_target_refuses_with_retry_after() {
     let fleet = fixture::start(1).await;
     for target in ["encoder-north", "encoder-south"] {
         let faults = TargetFaults {
@@ -178,11 +178,11 @@
         };
         fleet.targets.set_faults(target, faults);
     }
-    let request = fixture::request("read", BOTH, "nobody");
+    let request = fixture::request("read", BOTH_KEY, "nobody");
     let answer = fixture::call(&fleet, 0, &request).await.body;
     assert_eq!(answer.outcome, Outcome::NotRun);
     assert!(answer.retry_after_ms.is_some());
-    fixture::wait_until("both are known to be leaving", || {
+    fixture::wait_until("both targets are draining", || {
         fleet
             .entry(0)
             .entry
--- a/crates/local/tests/suite/pipelines.rs
+++ b/crates/local/tests/suite/pipelines.rs
@@ -1,4 +1,4 @@
-//! Pipelines run stage by stage, each stage's output feeding the next.
+//! Pipelines run stage by stage; each stage's output is the next one's input.
 
 use std::path::Path;
 
@@ -11,28 +11,30 @@
 
 use crate::fixture;
 
-async fn every_pipeline_of(directory: &str) {
+async fn check_every_pipeline(directory: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../../examples")
         .join(directory);
-    let files = read_directory(&path).expect("the examples are there");
+    let files = read_directory(&path).expect("the example can be read");
     let options = LocalOptions {
         entries: 2,
         limits: fixture::options(2).limits,
         ..LocalOptions::default()
     };
-    let fleet = LocalFleet::start(&files, options).await.expect("it starts");
+    let fleet = LocalFleet::start(&files, options)
+        .await
+        .expect("the fleet starts");
     let caller = Caller::default();
-    for (at, pipeline) in fleet.deployment.pipelines.iter().enumerate() {
+    for (index, pipeline) in fleet.deployment.pipelines.iter().enumerate() {
         let org = fleet
             .deployment
             .organisations
             .iter()
             .find(|org| org.pipelines.is_empty())
-            .expect("one may call all");
+            .expect("an organisation may call all");
         let key = format!("demo-{}", org.name);
-        let entry = fleet.callers()[at % 2];
-        let mut request = Request::new(&pipeline.name, &key, json!({ "log": at }));
+        let entry = fleet.callers()[index % 2];
+        let mut request = Request::new(&pipeline.name, &key, json!({ "log": index }));
         if pipeline.runs_once() {
             let ticket = caller
                 .tickets(entry, &key, 1)
@@ -41,10 +43,10 @@
                 .remove(0);
             request.once = Once::Ticket(ticket);
         }
-        let answered = caller.call(entry, &request).await.expect("an answer");
-        assert_eq!(answered.status, 200, "{:?}", answered.body);
-        assert_eq!(answered.body.outcome, Outcome::Whole);
-        assert!(answered
+        let response = caller.call(entry, &request).await.expect("an answer");
+        assert_eq!(response.status, 200, "{:?}", response.body);
+        assert_eq!(response.body.outcome, Outcome::Whole);
+        assert!(response
             .body
             .stages
             .iter()
@@ -52,55 +54,55 @@
         let org = fleet
             .deployment
             .find_organisation(&org.name)
-            .expect("it is there");
-        let pipeline_key = PipelineKey(at as u16);
-        let input = json!({ "log": at });
-        let wanted = output::of_pipeline(&fleet.deployment, org, pipeline_key, input);
-        assert_eq!(answered.body.output, Some(wanted), "{}", pipeline.name);
+            .expect("the organisation exists");
+        let pipeline_key = PipelineKey(index as u16);
+        let input = json!({ "log": index });
+        let expected = output::of_pipeline(&fleet.deployment, org, pipeline_key, input);
+        assert_eq!(response.body.output, Some(expected), "{}", pipeline.name);
     }
     fleet.shut_down().await;
 }
 
 #[actix_rt::test]
-async fn quebec_gets_the_targets_own_output_from_every_pipeline() {
-    every_pipeline_of("quebec").await;
+async fn quebec_pipelines_return_expected_output() {
+    check_every_pipeline("quebec").await;
 }
 
 #[actix_rt::test]
-async fn accra_gets_the_targets_own_output_from_every_pipeline() {
-    every_pipeline_of("accra").await;
+async fn accra_pipelines_return_expected_output() {
+    check_every_pipeline("accra").await;
 }
 
 #[actix_rt::test]
-async fn streamed_tokens_make_up_the_whole_output() {
+async fn streamed_tokens_equal_the_final_output() {
     let fleet = fixture::start(1).await;
-    let request = fixture::request("read", fixture::BOTH, "streamed");
-    let answered = Caller::default()
+    let request = fixture::request("read", fixture::BOTH_KEY, "streamed");
+    let response = Caller::default()
         .stream(fleet.entry(0).callers, &request)
         .await
         .expect("an answer");
-    assert_eq!(answered.body.outcome, Outcome::Whole);
-    let output = answered.body.output.expect("an output");
-    assert!(!answered.streamed.is_empty());
-    assert_eq!(output["text"], json!(answered.streamed));
+    assert_eq!(response.body.outcome, Outcome::Whole);
+    let output = response.body.output.expect("an output");
+    assert!(!response.streamed.is_empty());
+    assert_eq!(output["text"], json!(response.streamed));
     fleet.shut_down().await;
 }
 
 #[actix_rt::test]
-async fn a_caller_that_leaves_a_stream_ends_its_run() {
+async fn stream_disconnect_cancels_the_run() {
     let mut options = fixture::options(1);
     options.profile.engine.token = 50.0;
     let fleet = fixture::start_with(options).await;
-    let request = fixture::request("read", fixture::BOTH, "left");
+    let request = fixture::request("read", fixture::BOTH_KEY, "left");
     let address = fleet.entry(0).callers;
     {
         let caller = Caller::default();
         let stream = caller.stream(address, &request);
         let cut = actix_rt::time::timeout(std::time::Duration::from_millis(200), stream).await;
-        assert!(cut.is_err(), "the stream takes longer than that");
+        assert!(cut.is_err(), "the stream outlasts the timeout");
     }
     let entry = fleet.entry(0).entry.clone();
-    fixture::wait_until("the engine's call is given up", || {
+    fixture::wait_until("no call is in flight", || {
         let view = entry.view();
         view.targets
             .iter()
@@ -113,6 +115,6 @@
         .all()
         .into_iter()
         .any(|e| e.stage() == "generate" && e.finished);
-    assert!(!finished, "nobody waits for it any more");
+    assert!(!finished, "a cancelled call must not finish");
     fleet.shut_down().await;
 }
--- a/crates/local/tests/suite/raw_target.rs
+++ b/crates/local/tests/suite/raw_target.rs
@@ -1,4 +1,4 @@
-//! A target made of a bare socket, to fail at an exact byte.
+//! A target on a raw socket, which fails at a given byte of a request or answer.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -6,48 +6,48 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What it does with each connection.
+/// Handling of each connection.
 #[derive(Debug, Clone)]
 pub enum Behaviour {
-    /// Closes after so many bytes of the request.
+    /// Closes after reading this many bytes of the request.
     CloseAfterReading(usize),
-    /// Reads the whole request, answers these bytes, and closes.
+    /// Reads the request, writes these bytes and closes.
     AnswerAndClose(Vec<u8>),
-    /// Ends whole at a request whose body has this word: no new connection comes up until
-    /// [`RawTarget::restart`]. Answers others properly.
-    EndAt(&'static str),
-    /// Answers one request properly, then closes the connection without
-    /// notice when the next one arrives on it.
+    /// Stops listening at a request whose body contains this text, until
+    /// [`RawTarget::restart`]. Answers other requests correctly.
+    CrashOn(&'static str),
+    /// Answers one request correctly and closes the connection without an answer
+    /// when a second one arrives on it.
     CloseReused,
 }
 
-/// What it saw.
+/// Connections and requests received.
 #[derive(Debug, Default)]
-pub struct Seen {
-    /// Those on which anything arrived; a look whether the target lives sends nothing.
+pub struct Received {
+    /// Connections on which data arrived; liveness probes send none.
     pub connections: usize,
-    /// Dispatch ids of requests that arrived with their whole head.
+    /// Dispatch ids of requests whose head was read.
     pub dispatches: Vec<String>,
 }
 
 /// A listening raw target.
 pub struct RawTarget {
     pub address: SocketAddr,
-    pub seen: Arc<Mutex<Seen>>,
+    pub received: Arc<Mutex<Received>>,
     behaviour: Behaviour,
-    /// The listener and its connections, while it runs.
+    /// Accept loop; empty while the target is down.
     tasks: Tasks,
 }
 
 type Tasks = Arc<Mutex<Vec<actix_rt::task::JoinHandle<()>>>>;
 
 impl RawTarget {
-    /// Listens on loopback, port 0; lives until the test's runtime ends.
+    /// Listens on a free loopback port until the test's runtime ends.
     pub async fn start(behaviour: Behaviour) -> RawTarget {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let target = RawTarget {
             address: listener.local_addr().expect("an address"),
-            seen: Arc::new(Mutex::new(Seen::default())),
+            received: Arc::new(Mutex::new(Received::default())),
             behaviour,
             tasks: Tasks::default(),
         };
@@ -55,20 +55,19 @@
         target
     }
 
-    /// Listens again at its address after it has ended.
+    /// Listens again on the same address.
     pub async fn restart(&self) {
         let listener = TcpListener::bind(self.address).await.expect("its port");
         self.serve(listener);
     }
 
-    /// True while it listens.
     pub fn is_up(&self) -> bool {
         !self.tasks.lock().expect("no panic").is_empty()
     }
 
     fn serve(&self, listener: TcpListener) {
-        let (shared, behaviour, tasks) = (
-            self.seen.clone(),
+        let (received, behaviour, tasks) = (
+            self.received.clone(),
             self.behaviour.clone(),
             self.tasks.clone(),
         );
@@ -77,7 +76,7 @@
                 actix_rt::spawn(serve(
                     socket,
                     behaviour.clone(),
-                    shared.clone(),
+                    received.clone(),
                     tasks.clone(),
                 ));
             }
@@ -86,33 +85,33 @@
     }
 
     pub fn connections(&self) -> usize {
-        self.seen.lock().expect("no panic").connections
+        self.received.lock().expect("no panic").connections
     }
 
     pub fn dispatches(&self) -> Vec<String> {
-        self.seen.lock().expect("no panic").dispatches.clone()
+        self.received.lock().expect("no panic").dispatches.clone()
     }
 }
 
 async fn serve(
     mut socket: TcpStream,
     behaviour: Behaviour,
-    seen: Arc<Mutex<Seen>>,
-    listening: Tasks,
+    received: Arc<Mutex<Received>>,
+    accept_tasks: Tasks,
 ) {
     if !matches!(socket.peek(&mut [0]).await, Ok(1)) {
         return;
     }
-    seen.lock().expect("no panic").connections += 1;
+    received.lock().expect("no panic").connections += 1;
     match behaviour {
-        Behaviour::EndAt(word) => {
-            while let Some((dispatch, body)) = read_whole_request(&mut socket, &seen).await {
-                if String::from_utf8_lossy(&body).contains(word) {
-                    let tasks = std::mem::take(&mut *listening.lock().expect("no panic"));
+        Behaviour::CrashOn(text) => {
+            while let Some((dispatch, body)) = read_whole_request(&mut socket, &received).await {
+                if String::from_utf8_lossy(&body).contains(text) {
+                    let tasks = std::mem::take(&mut *accept_tasks.lock().expect("no panic"));
                     for task in tasks {
                         task.abort();
-                        // It was aborted.
-                        let _ended = task.await;
+                        // An aborted task returns an error.
+                        let _aborted = task.await;
                     }
                     return;
                 }
@@ -124,19 +123,19 @@
             let _ = socket.read_exact(&mut buf).await;
         }
         Behaviour::AnswerAndClose(answer) => {
-            read_request(&mut socket, &seen).await;
+            read_request(&mut socket, &received).await;
             let _ = socket.write_all(&answer).await;
         }
         Behaviour::CloseReused => {
-            if let Some(dispatch) = read_request(&mut socket, &seen).await {
+            if let Some(dispatch) = read_request(&mut socket, &received).await {
                 let _ = socket.write_all(&good_answer(&dispatch)).await;
-                read_request(&mut socket, &seen).await;
+                read_request(&mut socket, &received).await;
             }
         }
     }
 }
 
-/// A whole answer to a dispatch, as a target of this fleet gives it.
+/// A valid HTTP answer to a dispatch.
 pub fn good_answer(dispatch: &str) -> Vec<u8> {
     let output = serde_json::json!({ "done": "raw" });
     let body = serde_json::json!({
@@ -150,20 +149,20 @@
 }
 
 /// Reads one request; returns its dispatch id.
-async fn read_request(socket: &mut TcpStream, seen: &Mutex<Seen>) -> Option<String> {
-    let (dispatch, _) = read_whole_request(socket, seen).await?;
+async fn read_request(socket: &mut TcpStream, received: &Mutex<Received>) -> Option<String> {
+    let (dispatch, _) = read_whole_request(socket, received).await?;
     Some(dispatch)
 }
 
 /// Reads one request; returns its dispatch id and its body.
 async fn read_whole_request(
     socket: &mut TcpStream,
-    seen: &Mutex<Seen>,
+    received: &Mutex<Received>,
 ) -> Option<(String, Vec<u8>)> {
     let mut bytes = Vec::new();
     let head_end = loop {
-        if let Some(at) = bytes.windows(4).position(|w| w == b"\r\n\r\n") {
-            break at + 4;
+        if let Some(end) = bytes.windows(4).position(|w| w == b"\r\n\r\n") {
+            break end + 4;
         }
         if socket.read_buf(&mut bytes).await.ok()? == 0 {
             return None;
@@ -176,7 +175,8 @@
             .map(String::from)
     };
     let dispatch = field("hollowsail-dispatch")?;
-    seen.lock()
+    received
+        .lock()
         .expect("no panic")
         .dispatches
         .push(dispatch.clone());
--- a/crates/local/tests/suite/once.rs
+++ b/crates/local/tests/suite/run_once.rs
@@ -1,5 +1,5 @@
-//! What may not be repeated runs at most once, and its outcome is given again
-//! to whoever presents the same ticket or id with the same request.
+//! Unrepeatable requests run at most once; a resend with the same ticket or id
+//! gets the retained outcome.
 
 use std::time::Duration;
 
@@ -11,31 +11,31 @@
 use hollowsail_standins::{StoreFaults, TargetFaults};
 use serde_json::json;
 
-use crate::fixture::{self, BOTH, NORTH};
+use crate::fixture::{self, BOTH_KEY, NORTH_KEY};
 
-/// Sends a request to every entry at once.
-async fn at_all_entries(fleet: &LocalFleet, request: &Request<'_>) -> Vec<AnswerBody> {
+/// Sends a request to all entries concurrently.
+async fn call_all_entries(fleet: &LocalFleet, request: &Request<'_>) -> Vec<AnswerBody> {
     let calls = fleet.callers().into_iter().map(|address| async move {
-        let answered = Caller::default().call(address, request).await;
-        answered.expect("an answer").body
+        let response = Caller::default().call(address, request).await;
+        response.expect("an answer").body
     });
     join_all(calls).await
 }
 
-fn own_id<'a>(key: &'a str, id: &'a str, sent: u64) -> Request<'a> {
+fn request_with_own_id<'a>(key: &'a str, id: &'a str, sent: u64) -> Request<'a> {
     let mut request = fixture::request("pay", key, id);
     request.once = Once::Id(id.into(), sent);
     request
 }
 
 #[actix_rt::test]
-async fn a_ticket_presented_everywhere_at_once_runs_once_with_one_answer() {
+async fn concurrent_ticket_uses_run_once() {
     let fleet = fixture::start(3).await;
     for round in 0..10 {
-        let ticket = fixture::ticket(&fleet, round % 3, BOTH).await;
+        let ticket = fixture::ticket(&fleet, round % 3, BOTH_KEY).await;
         let id = format!("everywhere-{round}");
-        let payment = fixture::payment(BOTH, &id, &ticket);
-        let answers = at_all_entries(&fleet, &payment).await;
+        let payment = fixture::payment(BOTH_KEY, &id, &ticket);
+        let answers = call_all_entries(&fleet, &payment).await;
         assert!(answers.iter().all(|a| *a == answers[0]), "{answers:?}");
         assert_eq!(answers[0].outcome, Outcome::Whole);
         assert_eq!(fixture::executions(&fleet, &id, "confirm"), 1);
@@ -44,27 +44,27 @@
 }
 
 #[actix_rt::test]
-async fn a_ticket_works_while_the_store_is_down() {
+async fn ticket_works_while_the_store_is_down() {
     let fleet = fixture::start(2).await;
     fleet.store.set_faults(StoreFaults {
         down: true,
         ..StoreFaults::default()
     });
-    let ticket = fixture::ticket(&fleet, 0, BOTH).await;
-    let payment = fixture::payment(BOTH, "no-store", &ticket);
+    let ticket = fixture::ticket(&fleet, 0, BOTH_KEY).await;
+    let payment = fixture::payment(BOTH_KEY, "no-store", &ticket);
     let answer = fixture::call(&fleet, 1, &payment).await.body;
     assert_eq!(answer.outcome, Outcome::Whole);
     fleet.shut_down().await;
 }
 
 #[actix_rt::test]
-async fn a_ticket_serves_only_its_organisation_and_one_request() {
+async fn ticket_is_bound_to_org_and_request() {
     let fleet = fixture::start(1).await;
-    let ticket = fixture::ticket(&fleet, 0, BOTH).await;
-    let stolen = fixture::payment(NORTH, "stolen", &ticket);
+    let ticket = fixture::ticket(&fleet, 0, BOTH_KEY).await;
+    let stolen = fixture::payment(NORTH_KEY, "stolen", &ticket);
     let answer = fixture::call(&fleet, 0, &stolen).await.body;
     assert_eq!(answer.kind, Some(ErrorKind::TicketInvalid));
-    let mut payment = fixture::payment(BOTH, "first", &ticket);
+    let mut payment = fixture::payment(BOTH_KEY, "first", &ticket);
     let first = fixture::call(&fleet, 0, &payment).await.body;
     assert_eq!(first.outcome, Outcome::Whole);
     payment.input = json!("another input");
@@ -76,15 +76,15 @@
 }
 
 #[actix_rt::test]
-async fn an_issuer_that_died_leaves_its_ticket_unknown_and_nothing_runs_again() {
+async fn killed_issuer_leaves_ticket_unknown() {
     let mut fleet = fixture::start(3).await;
-    let ticket = fixture::ticket(&fleet, 0, BOTH).await;
-    let payment = fixture::payment(BOTH, "orphan", &ticket);
+    let ticket = fixture::ticket(&fleet, 0, BOTH_KEY).await;
+    let payment = fixture::payment(BOTH_KEY, "orphan", &ticket);
     let first = fixture::call(&fleet, 1, &payment).await.body;
     assert_eq!(first.outcome, Outcome::Whole);
-    fleet.take_entry(0).expect("it runs").kill().await;
-    for place in [1, 2] {
-        let again = fixture::call(&fleet, place, &payment).await.body;
+    fleet.take_entry(0).expect("the entry runs").kill().await;
+    for index in [1, 2] {
+        let again = fixture::call(&fleet, index, &payment).await.body;
         assert_eq!(again.outcome, Outcome::Unknown);
         assert_eq!(again.kind, Some(ErrorKind::IssuerGone));
     }
@@ -93,15 +93,15 @@
 }
 
 #[actix_rt::test]
-async fn an_entry_that_dies_while_a_stage_runs_does_not_make_it_run_again() {
+async fn entry_killed_during_stage_causes_no_rerun() {
     let mut options = fixture::options(3);
     options.profile.plain_ms = 400.0;
     let mut fleet = fixture::start_with(options).await;
-    let ticket = fixture::ticket(&fleet, 0, BOTH).await;
-    let payment = fixture::payment(BOTH, "dying", &ticket);
+    let ticket = fixture::ticket(&fleet, 0, BOTH_KEY).await;
+    let payment = fixture::payment(BOTH_KEY, "dying", &ticket);
     let address = fleet.entry(1).callers;
     let copy = payment.clone();
-    let (id, key, once) = ("dying", BOTH, copy.once.clone());
+    let (id, key, once) = ("dying", BOTH_KEY, copy.once.clone());
     let waiting = actix_rt::spawn(async move {
         let mut request = fixture::request("pay", key, id);
         request.once = once;
@@ -109,10 +109,10 @@
     });
     let log = fleet.targets.log.clone();
     fixture::wait_until("the stage begins", || log.count("dying", "confirm") == 1).await;
-    fleet.take_entry(0).expect("it runs").kill().await;
+    fleet.take_entry(0).expect("the entry runs").kill().await;
     let first = waiting.await.expect("no panic");
-    if let Ok(answered) = first {
-        assert_ne!(answered.body.outcome, Outcome::NotRun);
+    if let Ok(response) = first {
+        assert_ne!(response.body.outcome, Outcome::NotRun);
     }
     let again = fixture::call(&fleet, 2, &payment).await.body;
     assert_eq!(again.outcome, Outcome::Unknown);
@@ -121,19 +121,19 @@
 }
 
 #[actix_rt::test]
-async fn a_run_goes_on_without_its_caller_and_its_answer_is_kept() {
+async fn run_continues_after_caller_disconnects() {
     let mut options = fixture::options(2);
     options.profile.plain_ms = 300.0;
     let fleet = fixture::start_with(options).await;
-    let ticket = fixture::ticket(&fleet, 0, BOTH).await;
-    let payment = fixture::payment(BOTH, "alone", &ticket);
+    let ticket = fixture::ticket(&fleet, 0, BOTH_KEY).await;
+    let payment = fixture::payment(BOTH_KEY, "alone", &ticket);
     let caller = Caller::default();
     let cut = tokio::time::timeout(
         Duration::from_millis(100),
         caller.call(fleet.entry(0).callers, &payment),
     )
     .await;
-    assert!(cut.is_err(), "the caller gave up early");
+    assert!(cut.is_err(), "the call outlasts the timeout");
     drop(caller);
     let again = fixture::call(&fleet, 1, &payment).await.body;
     assert_eq!(again.outcome, Outcome::Whole);
@@ -142,7 +142,7 @@
 }
 
 #[actix_rt::test]
-async fn an_unknown_outcome_is_kept_and_never_tried_again() {
+async fn unknown_outcome_is_retained_not_retried() {
     let fleet = fixture::start(2).await;
     for target in ["payments-north", "payments-south"] {
         let cut = TargetFaults {
@@ -151,8 +151,8 @@
         };
         fleet.targets.set_faults(target, cut);
     }
-    let ticket = fixture::ticket(&fleet, 0, BOTH).await;
-    let payment = fixture::payment(BOTH, "cut", &ticket);
+    let ticket = fixture::ticket(&fleet, 0, BOTH_KEY).await;
+    let payment = fixture::payment(BOTH_KEY, "cut", &ticket);
     let first = fixture::call(&fleet, 0, &payment).await.body;
     let again = fixture::call(&fleet, 1, &payment).await.body;
     assert_eq!(first.outcome, Outcome::Unknown);
@@ -162,10 +162,10 @@
 }
 
 #[actix_rt::test]
-async fn a_streamed_run_is_kept_too() {
+async fn streamed_run_outcome_is_retained() {
     let fleet = fixture::start(1).await;
-    let ticket = fixture::ticket(&fleet, 0, BOTH).await;
-    let payment = fixture::payment(BOTH, "events", &ticket);
+    let ticket = fixture::ticket(&fleet, 0, BOTH_KEY).await;
+    let payment = fixture::payment(BOTH_KEY, "events", &ticket);
     let streamed = Caller::default()
         .stream(fleet.entry(0).callers, &payment)
         .await
@@ -177,16 +177,16 @@
 }
 
 #[actix_rt::test]
-async fn a_full_ledger_refuses_and_runs_nothing() {
+async fn full_ledger_refuses_without_running() {
     let mut options = fixture::options(1);
     options.limits.ledger_records = 2;
     let fleet = fixture::start_with(options).await;
-    for at in 0..3 {
-        let ticket = fixture::ticket(&fleet, 0, BOTH).await;
-        let id = format!("record-{at}");
-        let payment = fixture::payment(BOTH, &id, &ticket);
+    for index in 0..3 {
+        let ticket = fixture::ticket(&fleet, 0, BOTH_KEY).await;
+        let id = format!("record-{index}");
+        let payment = fixture::payment(BOTH_KEY, &id, &ticket);
         let answer = fixture::call(&fleet, 0, &payment).await.body;
-        if at < 2 {
+        if index < 2 {
             assert_eq!(answer.outcome, Outcome::Whole);
         } else {
             assert_eq!(answer.kind, Some(ErrorKind::LedgerFull));
@@ -198,12 +198,12 @@
 }
 
 #[actix_rt::test]
-async fn a_callers_own_id_sent_everywhere_at_once_runs_once() {
+async fn concurrent_sends_of_an_id_run_once() {
     let fleet = fixture::start(3).await;
     let now = fixture::wall_clock_ms();
     for round in 0..10 {
         let id = format!("own-{round}");
-        let answers = at_all_entries(&fleet, &own_id(BOTH, &id, now)).await;
+        let answers = call_all_entries(&fleet, &request_with_own_id(BOTH_KEY, &id, now)).await;
         assert_eq!(fixture::executions(&fleet, &id, "confirm"), 1);
         for answer in &answers {
             assert_eq!(answer.outcome, Outcome::Whole, "{answer:?}");
@@ -214,7 +214,7 @@
 }
 
 #[actix_rt::test]
-async fn lost_answers_of_the_store_never_make_an_id_run_twice() {
+async fn lost_store_answers_cause_no_second_run() {
     let fleet = fixture::start(3).await;
     fleet.store.set_faults(StoreFaults {
         lose_answers: 0.5,
@@ -224,7 +224,7 @@
     let mut whole = 0;
     for round in 0..20 {
         let id = format!("lost-{round}");
-        let answers = at_all_entries(&fleet, &own_id(BOTH, &id, now)).await;
+        let answers = call_all_entries(&fleet, &request_with_own_id(BOTH_KEY, &id, now)).await;
         let runs = fixture::executions(&fleet, &id, "confirm");
         assert!(runs <= 1, "{id} ran {runs} times");
         for answer in &answers {
@@ -236,18 +236,18 @@
             .filter(|a| a.outcome == Outcome::Whole)
             .count();
     }
-    assert!(whole > 0, "reading back settles lost answers");
+    assert!(whole > 0, "reading back resolves lost answers");
     fleet.shut_down().await;
 }
 
 #[actix_rt::test]
-async fn with_the_store_down_an_own_id_is_refused_without_a_claim_about_earlier_sends() {
+async fn id_without_store_is_refused_as_unknown() {
     let fleet = fixture::start(2).await;
     fleet.store.set_faults(StoreFaults {
         down: true,
         ..StoreFaults::default()
     });
-    let mut request = own_id(BOTH, "down", fixture::wall_clock_ms());
+    let mut request = request_with_own_id(BOTH_KEY, "down", fixture::wall_clock_ms());
     request.deadline_ms = Some(2_000);
     let answer = fixture::call(&fleet, 0, &request).await.body;
     assert_eq!(answer.kind, Some(ErrorKind::ClaimUnavailable));
@@ -258,10 +258,10 @@
 }
 
 #[actix_rt::test]
-async fn an_id_older_than_claims_are_kept_is_refused() {
+async fn id_older_than_claim_retention_is_refused() {
     let fleet = fixture::start(1).await;
     let hours_ago = fixture::wall_clock_ms() - 3 * 3_600_000;
-    let answer = fixture::call(&fleet, 0, &own_id(BOTH, "old", hours_ago))
+    let answer = fixture::call(&fleet, 0, &request_with_own_id(BOTH_KEY, "old", hours_ago))
         .await
         .body;
     assert_eq!(answer.kind, Some(ErrorKind::TicketExpired));
@@ -271,12 +271,12 @@
 }
 
 #[actix_rt::test]
-async fn the_owner_of_a_claim_that_died_leaves_it_unknown() {
+async fn killed_claim_owner_leaves_it_unknown() {
     let mut fleet = fixture::start(3).await;
-    let request = own_id(BOTH, "claimed", fixture::wall_clock_ms());
+    let request = request_with_own_id(BOTH_KEY, "claimed", fixture::wall_clock_ms());
     let first = fixture::call(&fleet, 0, &request).await.body;
     assert_eq!(first.outcome, Outcome::Whole);
-    fleet.take_entry(0).expect("it runs").kill().await;
+    fleet.take_entry(0).expect("the entry runs").kill().await;
     let again = fixture::call(&fleet, 1, &request).await.body;
     assert_eq!(again.outcome, Outcome::Unknown);
     assert_eq!(fixture::executions(&fleet, "claimed", "confirm"), 1);
@@ -284,10 +284,10 @@
 }
 
 #[actix_rt::test]
-async fn a_second_send_that_is_refused_early_does_not_claim_that_the_first_did_not_run() {
+async fn early_refusal_of_resend_is_unknown() {
     let fleet = fixture::start(2).await;
-    let ticket = fixture::ticket(&fleet, 0, BOTH).await;
-    let payment = fixture::payment(BOTH, "twice", &ticket);
+    let ticket = fixture::ticket(&fleet, 0, BOTH_KEY).await;
+    let payment = fixture::payment(BOTH_KEY, "twice", &ticket);
     let first = fixture::call(&fleet, 0, &payment).await.body;
     assert_eq!(first.outcome, Outcome::Whole);
     let mut late = payment.clone();
@@ -303,19 +303,19 @@
 }
 
 #[actix_rt::test]
-async fn a_ticket_refused_as_not_run_never_runs_later() {
+async fn ticket_refused_as_not_run_never_runs() {
     let mut options = fixture::options(1);
     options.limits.ledger_records = 1;
     options.limits.ticket_ms = 4_000;
     let fleet = fixture::start_with(options).await;
-    let first = fixture::ticket(&fleet, 0, BOTH).await;
-    let payment = fixture::payment(BOTH, "first", &first);
+    let first = fixture::ticket(&fleet, 0, BOTH_KEY).await;
+    let payment = fixture::payment(BOTH_KEY, "first", &first);
     assert_eq!(
         fixture::call(&fleet, 0, &payment).await.body.outcome,
         Outcome::Whole
     );
-    let second = fixture::ticket(&fleet, 0, BOTH).await;
-    let payment = fixture::payment(BOTH, "second", &second);
+    let second = fixture::ticket(&fleet, 0, BOTH_KEY).await;
+    let payment = fixture::payment(BOTH_KEY, "second", &second);
     let refused = fixture::call(&fleet, 0, &payment).await.body;
     assert_eq!(refused.outcome, Outcome::NotRun);
     for _ in 0..20 {
@@ -328,17 +328,17 @@
 }
 
 #[actix_rt::test]
-async fn keys_of_old_claims_go_from_the_store() {
+async fn expired_claim_keys_leave_the_store() {
     let mut options = fixture::options(1);
     options.limits.claim_ms = 6_000;
     let fleet = fixture::start_with(options).await;
-    let request = own_id(BOTH, "short-lived", fixture::wall_clock_ms());
+    let request = request_with_own_id(BOTH_KEY, "short-lived", fixture::wall_clock_ms());
     let answer = fixture::call(&fleet, 0, &request).await.body;
     assert_eq!(answer.outcome, Outcome::Whole);
     assert_eq!(fleet.store.count_keys("claim/"), 1);
     fixture::wait_until("the key is gone", || fleet.store.count_keys("claim/") == 0).await;
     let again = fixture::call(&fleet, 0, &request).await.body;
-    assert_eq!(again.outcome, Outcome::Unknown, "the id is too old to say");
+    assert_eq!(again.outcome, Outcome::Unknown, "the claim has expired");
     assert_eq!(fixture::executions(&fleet, "short-lived", "confirm"), 1);
     fleet.shut_down().await;
 }
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -1,18 +1,17 @@
-//! Timing of a batching engine: what prefill and each token cost.
+//! Timing of a batching engine: prefill and token generation.
 //!
-//! Token time grows with the running batch; prefill time grows with prompt
-//! tokens that the prefix cache does not hold. The cache is an LRU over
-//! sessions of organisations in a limited number of slots.
+//! Token time grows with the running batch; prefill time grows with the prompt
+//! tokens that aren't in the prefix cache, an LRU over sessions.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 /// Prompt tokens of a session's shared prefix.
 const PREFIX_TOKENS: f64 = 600.0;
-/// Prompt tokens of the request itself.
+/// Prompt tokens after the shared prefix.
 const OWN_TOKENS: f64 = 120.0;
-/// Sessions whose prefix fits in memory.
-const CACHED_SESSIONS: usize = 32;
+/// Capacity of the prefix cache, in sessions.
+const MAX_CACHED_SESSIONS: usize = 32;
 
 /// Costs of one engine, in milliseconds.
 #[derive(Debug, Clone, Copy)]
@@ -35,7 +34,7 @@
 }
 
 impl EngineTimes {
-    /// Time until the first token.
+    /// Time of the prefill.
     pub fn prefill(&self, cached: bool) -> Duration {
         let tokens = if cached {
             OWN_TOKENS
@@ -56,21 +55,21 @@
     Duration::from_secs_f64(ms / 1000.0)
 }
 
-/// Sessions whose prefix an engine holds, most recent last.
+/// Sessions with a cached prefix, most recently used last.
 #[derive(Debug, Default)]
 pub struct PrefixCache(VecDeque<String>);
 
 impl PrefixCache {
-    /// Looks a session up and makes it the most recent; true when it was held.
+    /// Marks a session as most recently used; true when its prefix was cached.
     pub fn touch(&mut self, session: &str) -> bool {
-        let held = self.0.iter().position(|known| known == session);
-        if let Some(at) = held {
-            self.0.remove(at);
+        let position = self.0.iter().position(|other| other == session);
+        if let Some(index) = position {
+            self.0.remove(index);
         }
         self.0.push_back(session.to_string());
-        if self.0.len() > CACHED_SESSIONS {
+        if self.0.len() > MAX_CACHED_SESSIONS {
             self.0.pop_front();
         }
-        held.is_some()
+        position.is_some()
     }
 }
--- a/crates/standins/src/record.rs
+++ b/crates/standins/src/execution_log.rs
@@ -1,8 +1,8 @@
-//! What targets really executed: the oracle for every promise.
+//! Log of the calls that targets executed, the reference for checks of answers.
 
 use std::sync::{Arc, Mutex};
 
-/// One call that a target began to execute.
+/// A call that a target started to execute.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Execution {
     pub target: String,
@@ -10,12 +10,12 @@
     pub org: String,
     /// `request~run/stage/attempt` as received.
     pub dispatch: String,
-    /// True once the target computed its answer to the end.
+    /// True once the answer was computed completely.
     pub finished: bool,
 }
 
 impl Execution {
-    /// The caller's request id, without the run that the entry adds.
+    /// The caller's request id, without the run number added by the entry.
     pub fn request(&self) -> &str {
         self.dispatch.split(['~', '/']).next().unwrap_or("")
     }
@@ -26,29 +26,29 @@
     }
 }
 
-/// Executions of all targets, in order of their beginning.
+/// Executions of all targets, in order of their start.
 #[derive(Debug, Clone, Default)]
 pub struct ExecutionLog(Arc<Mutex<Vec<Execution>>>);
 
 impl ExecutionLog {
-    /// Notes that a call begins; returns its place for [`ExecutionLog::finish`].
+    /// Records the start of a call; returns its index for [`ExecutionLog::finish`].
     pub fn begin(&self, execution: Execution) -> usize {
         let mut all = self.0.lock().expect("no panic while held");
         all.push(execution);
         all.len() - 1
     }
 
-    /// Notes that the call at `place` was computed to the end.
-    pub fn finish(&self, place: usize) {
-        self.0.lock().expect("no panic while held")[place].finished = true;
+    /// Records that the call at `index` was computed completely.
+    pub fn finish(&self, index: usize) {
+        self.0.lock().expect("no panic while held")[index].finished = true;
     }
 
-    /// A copy of everything so far.
+    /// A copy of all executions so far.
     pub fn all(&self) -> Vec<Execution> {
         self.0.lock().expect("no panic while held").clone()
     }
 
-    /// How often a stage of a request was begun.
+    /// Number of started executions of a request's stage.
     pub fn count(&self, request: &str, stage: &str) -> usize {
         self.0
             .lock()
--- a/crates/standins/src/faults.rs
+++ b/crates/standins/src/faults.rs
@@ -1,17 +1,17 @@
-//! Faults that a test or a scenario switches on while stand-ins run.
+//! Faults that can be injected while stand-ins run.
 
 use std::net::SocketAddr;
 
-/// What is wrong with one target.
+/// Faults of one target.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TargetFaults {
-    /// Multiplies every time.
+    /// Multiplies every processing time.
     pub slow_factor: f64,
-    /// Accepts calls, executes them and never answers.
+    /// Starts to execute calls and never answers.
     pub hang: bool,
-    /// Refuses every call with this status, unexecuted.
+    /// Refuses every call with this status, without executing it.
     pub refuse: Option<u16>,
-    /// Takes no new work and says so.
+    /// Refuses new calls and reports that it is draining.
     pub leaving: bool,
     /// Executes, then cuts the connection instead of answering.
     pub cut_answer: bool,
@@ -21,13 +21,13 @@
     pub drop_end_marker: bool,
     /// Answers with the dispatch id of another call.
     pub cross_answers: bool,
-    /// States a wrong length.
+    /// Reports a wrong output length.
     pub wrong_length: bool,
     /// Sends every token event twice.
     pub double_tokens: bool,
-    /// Reports this load whatever it holds.
+    /// Reports this load instead of the real one.
     pub frozen_load: Option<u32>,
-    /// Answers with a redirect to this address, unexecuted.
+    /// Redirects calls to this address, without executing them.
     pub redirect: Option<SocketAddr>,
 }
 
@@ -50,15 +50,15 @@
     }
 }
 
-/// What is wrong with the store.
+/// Faults of the store.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct StoreFaults {
-    /// Drops every call unanswered and undone.
+    /// Drops every call without executing or answering it.
     pub down: bool,
     /// Milliseconds added to every call.
     pub slow_ms: u64,
-    /// Lets this share of writes take effect and loses their answers.
+    /// Share of writes, from 0 to 1, that take effect but whose answers are lost.
     pub lose_answers: f64,
-    /// Ends values with a time to live after this share of it.
-    pub early_lapse: Option<f64>,
+    /// Expires values after this share of their time to live.
+    pub early_expiry: Option<f64>,
 }
--- a/crates/standins/src/host_list.rs
+++ b/crates/standins/src/host_list.rs
@@ -1,4 +1,4 @@
-//! The host list: live and leaving hosts, shown with a lag.
+//! A host list with live and draining hosts, whose changes show after a lag.
 
 use std::collections::VecDeque;
 use std::net::{SocketAddr, TcpListener};
@@ -15,10 +15,10 @@
     versions: Mutex<Versions>,
 }
 
-/// Versions of the list with the moments they were made, oldest first.
+/// Versions of the list with their creation times, oldest first.
 struct Versions {
-    kept: VecDeque<(Instant, Vec<HostRecord>)>,
-    /// Number of the oldest one kept; its tag.
+    retained: VecDeque<(Instant, Vec<HostRecord>)>,
+    /// Number of the oldest retained version, used as its entity tag.
     oldest: u64,
 }
 
@@ -30,14 +30,14 @@
 }
 
 impl HostListStandIn {
-    /// Starts a list of live hosts on loopback, port 0.
+    /// Starts serving the list on a free loopback port.
     pub fn start(hosts: Vec<HostRecord>, lag: Duration) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared {
             lag,
             versions: Mutex::new(Versions {
-                kept: VecDeque::from([(Instant::now(), hosts)]),
+                retained: VecDeque::from([(Instant::now(), hosts)]),
                 oldest: 0,
             }),
         });
@@ -61,20 +61,20 @@
         })
     }
 
-    /// Changes the list; readers see it after the lag.
+    /// Changes the list; the change shows after the lag.
     pub fn change(&self, change: impl FnOnce(&mut Vec<HostRecord>)) {
         let mut versions = self.shared.versions.lock().expect("no panic");
         let mut hosts = versions
-            .kept
+            .retained
             .back()
             .map(|(_, hosts)| hosts.clone())
             .unwrap_or_default();
         change(&mut hosts);
-        versions.kept.push_back((Instant::now(), hosts));
+        versions.retained.push_back((Instant::now(), hosts));
     }
 
-    /// Shows a host as leaving after the lag.
-    pub fn set_leaving(&self, name: &str) {
+    /// Sets a host's status to [`HostStatus::Leaving`], visible after the lag.
+    pub fn set_draining(&self, name: &str) {
         self.change(|hosts| {
             for host in hosts.iter_mut().filter(|host| host.name == name) {
                 host.status = HostStatus::Leaving;
@@ -82,7 +82,6 @@
         });
     }
 
-    /// Stops listening.
     pub async fn stop(self) {
         self.handle.stop(false).await;
     }
@@ -90,16 +89,16 @@
 
 async fn handle(shared: web::Data<Shared>, req: HttpRequest) -> HttpResponse {
     let mut versions = shared.versions.lock().expect("no panic");
-    while versions.kept.len() > 1 && versions.kept[1].0.elapsed() >= shared.lag {
-        versions.kept.pop_front();
+    while versions.retained.len() > 1 && versions.retained[1].0.elapsed() >= shared.lag {
+        versions.retained.pop_front();
         versions.oldest += 1;
     }
     let tag = format!("\"{}\"", versions.oldest);
-    let known = req.headers().get(IF_NONE_MATCH);
-    if known.is_some_and(|known| known == tag.as_str()) {
+    let known_tag = req.headers().get(IF_NONE_MATCH);
+    if known_tag.is_some_and(|known_tag| known_tag == tag.as_str()) {
         return HttpResponse::NotModified().finish();
     }
     HttpResponse::Ok()
         .insert_header((ETAG, tag))
-        .json(&versions.kept[0].1)
+        .json(&versions.retained[0].1)
 }
--- a/crates/standins/src/output.rs
+++ b/crates/standins/src/output.rs
@@ -1,17 +1,17 @@
-//! What a stand-in answers: a pure function of the call, so that anybody can
-//! tell whether an answer belongs to its request.
+//! Answers of stand-ins: pure functions of the call, so that a checker can
+//! compute the expected answer to any request.
 
 use hollowsail_clients::target::Call;
 use hollowsail_config::{Deployment, OrganisationKey, PipelineKey, ServiceKind};
 use serde_json::{json, Value};
 use sha2::{Digest, Sha256};
 
-/// Words that generated text is made of.
+/// Vocabulary of generated text.
 const WORDS: [&str; 16] = [
     "the", "record", "shows", "that", "reading", "was", "within", "range", "until", "noon", "and",
     "a", "notice", "follows", "for", "review",
 ];
-/// Passages a retriever returns.
+/// Number of passages in a retriever's answer.
 const PASSAGES: usize = 4;
 
 fn digest_of(call: &Call) -> [u8; 32] {
@@ -29,7 +29,7 @@
         .collect()
 }
 
-/// Answer of a service that does not stream.
+/// Answer of a target to a call that isn't streamed.
 pub fn answer_for(kind: ServiceKind, call: &Call) -> Value {
     let id = short_digest(call);
     match kind {
@@ -46,15 +46,14 @@
     }
 }
 
-/// Number of tokens an engine generates for a call: half to all of what is
-/// allowed.
+/// Number of tokens generated for a call: between half of its maximum and all.
 pub fn token_count(call: &Call) -> u32 {
     let half = call.max_tokens / 2;
     let draw = u32::from(digest_of(call)[31]);
     half + draw * (call.max_tokens - half) / 255
 }
 
-/// One generated token.
+/// The generated token at an offset.
 pub fn token(call: &Call, offset: u32) -> String {
     let digest = digest_of(call);
     let byte = digest[(offset % 31) as usize];
@@ -64,12 +63,13 @@
 
 /// The whole generated text.
 pub fn text_for(call: &Call) -> String {
-    (0..token_count(call)).map(|at| token(call, at)).collect()
+    (0..token_count(call))
+        .map(|offset| token(call, offset))
+        .collect()
 }
 
-/// What a whole pipeline answers to an organisation's input: each stage's
-/// output is the next one's input. Nothing is called; tests and history checks
-/// compare real answers with it.
+/// Expected output of a pipeline for an organisation's input, computed without
+/// calls: each stage's output is the next one's input.
 pub fn of_pipeline(
     deployment: &Deployment,
     org: OrganisationKey,
--- a/crates/standins/src/profile.rs
+++ b/crates/standins/src/profile.rs
@@ -1,10 +1,10 @@
-//! Speeds of the stand-ins.
+//! Processing times of the target stand-ins.
 
 use hollowsail_config::ServiceKind;
 
 use crate::engine::EngineTimes;
 
-/// Speeds of the stand-ins.
+/// Processing time of one call on an idle target, by service kind.
 #[derive(Debug, Clone, Copy)]
 pub struct Profile {
     pub encoder_ms: f64,
@@ -27,7 +27,7 @@
 }
 
 impl Profile {
-    /// No waiting at all: for measuring what an entry adds.
+    /// No processing time, which isolates the time added by an entry.
     pub fn instant() -> Self {
         Profile {
             encoder_ms: 0.0,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Time of one call on an idle target, in milliseconds.
+    /// Base time of one call, in milliseconds; 0 for engines.
     pub(crate) fn base_ms(&self, kind: ServiceKind) -> f64 {
         match kind {
             ServiceKind::Encoder => self.encoder_ms,
--- a/crates/standins/src/store.rs
+++ b/crates/standins/src/store.rs
@@ -1,5 +1,5 @@
-//! The key-value service: compare-and-swap, time to live, waiting watches,
-//! call counting, a rate limit, and its faults.
+//! A key-value store with compare-and-swap, time to live, long-polling watches,
+//! call counters and injected faults.
 
 use std::collections::HashMap;
 use std::net::{SocketAddr, TcpListener};
@@ -18,13 +18,12 @@
 
 use crate::faults::StoreFaults;
 
-/// Largest body of one call.
-const MAX_BODY: usize = 1_100_000;
+const MAX_BODY_BYTES: usize = 1_100_000;
 
 struct Value {
     version: u64,
     bytes: Vec<u8>,
-    lapses: Option<Instant>,
+    expires_at: Option<Instant>,
 }
 
 struct Shared {
@@ -45,7 +44,7 @@
 }
 
 impl StoreStandIn {
-    /// Starts a store on loopback, port 0; `seed` decides which answers are
+    /// Starts a store on a free loopback port; `seed` decides which answers are
     /// lost.
     pub fn start(seed: u64) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
@@ -63,7 +62,7 @@
         let server = HttpServer::new(move || {
             App::new()
                 .app_data(data.clone())
-                .app_data(web::PayloadConfig::new(MAX_BODY))
+                .app_data(web::PayloadConfig::new(MAX_BODY_BYTES))
                 .route("/kv", web::post().to(handle))
         })
         .workers(1)
@@ -80,50 +79,48 @@
         })
     }
 
-    /// Replaces the faults.
     pub fn set_faults(&self, faults: StoreFaults) {
         *self.shared.faults.lock().expect("no panic") = faults;
         self.shared.changed.notify_waiters();
     }
 
-    /// Calls so far: `(reads, writes)`; a watch is a read.
+    /// Numbers of calls so far as `(reads, writes)`; a watch is a read.
     pub fn calls(&self) -> (u64, u64) {
         let reads = self.shared.reads.load(Ordering::Relaxed);
         let writes = self.shared.writes.load(Ordering::Relaxed);
         (reads, writes)
     }
 
-    /// Number of keys that begin with `prefix`.
+    /// Number of unexpired keys that start with `prefix`.
     pub fn count_keys(&self, prefix: &str) -> usize {
         let values = self.shared.values.lock().expect("no panic");
         let now = Instant::now();
         values
             .iter()
             .filter(|(key, _)| key.starts_with(prefix))
-            .filter(|(_, value)| value.lapses.is_none_or(|at| at > now))
+            .filter(|(_, value)| value.expires_at.is_none_or(|expiry| expiry > now))
             .count()
     }
 
-    /// Overwrites a key from outside, as an operator's mishap would.
+    /// Overwrites a key unconditionally, as a restore from an older copy would.
     pub fn overwrite(&self, key: &str, bytes: Vec<u8>) {
         let version = self.shared.next_version.fetch_add(1, Ordering::Relaxed);
         let value = Value {
             version,
             bytes,
-            lapses: None,
+            expires_at: None,
         };
         let mut values = self.shared.values.lock().expect("no panic");
         values.insert(key.to_string(), value);
         self.shared.changed.notify_waiters();
     }
 
-    /// Reads a key as it stands.
+    /// Current value of a key; expired values that were not yet removed are included.
     pub fn read(&self, key: &str) -> Option<Vec<u8>> {
         let values = self.shared.values.lock().expect("no panic");
         values.get(key).map(|value| value.bytes.clone())
     }
 
-    /// Stops listening.
     pub async fn stop(self) {
         self.handle.stop(false).await;
     }
@@ -157,19 +154,19 @@
             ttl_ms,
         } => shared.put(key, value, expect, ttl_ms, &faults),
     };
-    let lost = is_write
+    let is_lost = is_write
         && shared
             .rng
             .lock()
             .expect("no panic")
             .random_bool(faults.lose_answers);
-    if lost || shared.faults.lock().expect("no panic").down {
+    if is_lost || shared.faults.lock().expect("no panic").down {
         return no_answer();
     }
     HttpResponse::Ok().body(rmp_serde::to_vec(&reply).expect("a reply always serializes"))
 }
 
-/// Cuts the connection in the middle of an answer.
+/// A response whose connection is cut before the body ends.
 fn no_answer() -> HttpResponse {
     let cut = stream::iter([Err::<Bytes, _>(std::io::Error::other("lost"))]);
     HttpResponse::Ok().streaming(cut)
@@ -178,7 +175,7 @@
 impl Shared {
     fn get(&self, key: &str) -> StoreReply {
         let mut values = self.values.lock().expect("no panic");
-        drop_lapsed(&mut values, key);
+        remove_expired(&mut values, key);
         match values.get(key) {
             Some(value) => StoreReply::Value {
                 version: value.version,
@@ -197,12 +194,12 @@
                 StoreReply::Value { version, .. } => *version,
                 _ => 0,
             };
-            let left = end.saturating_duration_since(Instant::now());
+            let remaining = end.saturating_duration_since(Instant::now());
             let down = self.faults.lock().expect("no panic").down;
-            if version != seen || left.is_zero() || down {
+            if version != seen || remaining.is_zero() || down {
                 return reply;
             }
-            let _ = tokio::time::timeout(left, changed).await;
+            let _ = tokio::time::timeout(remaining, changed).await;
         }
     }
 
@@ -215,14 +212,14 @@
         faults: &StoreFaults,
     ) -> StoreReply {
         let mut values = self.values.lock().expect("no panic");
-        drop_lapsed(&mut values, &key);
+        remove_expired(&mut values, &key);
         let current = values.get(&key);
-        let fits = match expect {
+        let matches_expectation = match expect {
             Expect::Anything => true,
             Expect::Absent => current.is_none(),
             Expect::Version(version) => current.is_some_and(|value| value.version == version),
         };
-        if !fits {
+        if !matches_expectation {
             return match current {
                 Some(value) => StoreReply::Conflict {
                     version: value.version,
@@ -232,14 +229,15 @@
             };
         }
         let version = self.next_version.fetch_add(1, Ordering::Relaxed);
-        let share = faults.early_lapse.unwrap_or(1.0);
-        let lapses = ttl_ms.map(|ttl| Instant::now() + Duration::from_millis(ttl).mul_f64(share));
+        let share = faults.early_expiry.unwrap_or(1.0);
+        let expires_at =
+            ttl_ms.map(|ttl| Instant::now() + Duration::from_millis(ttl).mul_f64(share));
         values.insert(
             key,
             Value {
                 version,
                 bytes,
-                lapses,
+                expires_at,
             },
         );
         self.changed.notify_waiters();
@@ -247,12 +245,12 @@
     }
 }
 
-fn drop_lapsed(values: &mut HashMap<String, Value>, key: &str) {
-    let lapsed = values
+fn remove_expired(values: &mut HashMap<String, Value>, key: &str) {
+    let is_expired = values
         .get(key)
-        .and_then(|value| value.lapses)
-        .is_some_and(|at| at <= Instant::now());
-    if lapsed {
+        .and_then(|value| value.expires_at)
+        .is_some_and(|expiry| expiry <= Instant::now());
+    if is_expired {
         values.remove(key);
     }
 }
--- a/crates/standins/src/target_run.rs
+++ b/crates/standins/src/target_call.rs
@@ -1,4 +1,4 @@
-//! One call on a target that has its slot: its time, its answer, its faults.
+//! Executes a call that holds a slot of its target: processing time, answer and faults.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -13,31 +13,31 @@
 
 use crate::faults::TargetFaults;
 use crate::output;
-use crate::target_state::{Busy, Counted, TargetState};
+use crate::target_state::{BusyTimer, CountGuard, TargetState};
 
-/// How long "never answers" is.
-const HANG: Duration = Duration::from_secs(600);
+/// Delay of a hanging call, longer than any deadline.
+const HANG_TIME: Duration = Duration::from_secs(600);
 
-/// One call that has its slot.
-pub(crate) struct Run {
+/// A call that holds a slot of its target.
+pub(crate) struct ActiveCall {
     pub(crate) state: Arc<TargetState>,
     pub(crate) faults: TargetFaults,
     pub(crate) org: String,
     pub(crate) call: Call,
-    pub(crate) place: usize,
-    pub(crate) _held: Counted,
-    pub(crate) _busy: Busy,
+    pub(crate) log_index: usize,
+    pub(crate) _in_flight: CountGuard,
+    pub(crate) _busy_timer: BusyTimer,
     pub(crate) _slot: OwnedSemaphorePermit,
 }
 
-impl Run {
+impl ActiveCall {
     pub(crate) async fn answer(self) -> HttpResponse {
         if self.faults.hang {
-            tokio::time::sleep(HANG).await;
+            tokio::time::sleep(HANG_TIME).await;
         }
         match self.state.kind {
             ServiceKind::Engine => self.answer_stream().await,
-            _ => self.answer_whole().await,
+            _ => self.answer_body().await,
         }
     }
 
@@ -48,7 +48,7 @@
         }
     }
 
-    fn echo(&self) -> String {
+    fn dispatch_id(&self) -> String {
         match self.faults.cross_answers {
             true => "another-request/stage/1".to_string(),
             false => self.call.dispatch.clone(),
@@ -57,7 +57,7 @@
 
     fn response(&self) -> actix_web::HttpResponseBuilder {
         let mut res = HttpResponse::Ok();
-        res.insert_header((DISPATCH_HEADER, self.echo()));
+        res.insert_header((DISPATCH_HEADER, self.dispatch_id()));
         if self.state.reports_load {
             let load = self.state.reported_load(&self.faults);
             res.insert_header((LOAD_HEADER, load.to_string()));
@@ -65,21 +65,21 @@
         res
     }
 
-    async fn answer_whole(self) -> HttpResponse {
-        let running = Counted::new(&self.state.running);
-        let crowding =
+    async fn answer_body(self) -> HttpResponse {
+        let running = CountGuard::new(&self.state.running);
+        let utilisation =
             f64::from(running.0.load(Ordering::Relaxed)) / f64::from(self.state.concurrency);
         let base = self.state.profile.base_ms(self.state.kind);
-        self.wait(Duration::from_secs_f64(base * (0.5 + crowding) / 1000.0))
+        self.wait(Duration::from_secs_f64(base * (0.5 + utilisation) / 1000.0))
             .await;
         let output = output::answer_for(self.state.kind, &self.call);
-        self.state.log.finish(self.place);
+        self.state.log.finish(self.log_index);
         let mut length = output.to_string().len();
         if self.faults.wrong_length {
             length += 1;
         }
         let answer = Answer {
-            dispatch: self.echo(),
+            dispatch: self.dispatch_id(),
             length,
             output,
         };
@@ -102,80 +102,83 @@
         let prefill = self.state.profile.engine.prefill(cached);
         self.wait(prefill).await;
         let mut res = self.response();
-        let events = stream::unfold(StreamRun::new(self), |mut run| async move {
-            let item = run.next().await?;
-            Some((item, run))
+        let events = stream::unfold(TokenStream::new(self), |mut active_call| async move {
+            let item = active_call.next_token().await?;
+            Some((item, active_call))
         });
         res.content_type("text/event-stream").streaming(events)
     }
 }
 
-/// A body that breaks off after the given pieces.
+/// A body that is cut after the given chunks.
 fn cut_after(
-    pieces: Vec<Bytes>,
+    chunks: Vec<Bytes>,
 ) -> impl futures_util::Stream<Item = Result<Bytes, std::io::Error>> {
     let cut = Err(std::io::Error::other("cut by a fault"));
-    stream::iter(pieces.into_iter().map(Ok).chain([cut]))
+    stream::iter(chunks.into_iter().map(Ok).chain([cut]))
 }
 
-/// A token stream under way.
-struct StreamRun {
-    run: Run,
-    _running: Counted,
-    next: u32,
-    total: u32,
-    ended: bool,
+/// Token events of a running call.
+struct TokenStream {
+    active_call: ActiveCall,
+    _running: CountGuard,
+    next_token: u32,
+    total_tokens: u32,
+    is_finished: bool,
 }
 
-impl StreamRun {
-    fn new(run: Run) -> Self {
-        let running = Counted::new(&run.state.running);
-        StreamRun {
-            next: run.call.from_token,
-            total: output::token_count(&run.call),
-            ended: false,
+impl TokenStream {
+    fn new(active_call: ActiveCall) -> Self {
+        let running = CountGuard::new(&active_call.state.running);
+        TokenStream {
+            next_token: active_call.call.from_token,
+            total_tokens: output::token_count(&active_call.call),
+            is_finished: false,
             _running: running,
-            run,
+            active_call,
         }
     }
 
-    async fn next(&mut self) -> Option<Result<Bytes, std::io::Error>> {
-        if self.ended {
+    async fn next_token(&mut self) -> Option<Result<Bytes, std::io::Error>> {
+        if self.is_finished {
             return None;
         }
-        let resumed = self.run.call.from_token > 0;
-        if self.run.faults.cut_stream_after == Some(self.next) && !resumed {
-            self.ended = true;
+        let resumed = self.active_call.call.from_token > 0;
+        if self.active_call.faults.cut_stream_after == Some(self.next_token) && !resumed {
+            self.is_finished = true;
             return Some(Err(std::io::Error::other("cut by a fault")));
         }
-        if self.next >= self.total {
+        if self.next_token >= self.total_tokens {
             return self.end();
         }
-        let batch = self.run.state.running.load(Ordering::Relaxed);
-        let time = self.run.state.profile.engine.token(batch);
-        self.run.wait(time).await;
+        let batch = self.active_call.state.running.load(Ordering::Relaxed);
+        let time = self.active_call.state.profile.engine.token(batch);
+        self.active_call.wait(time).await;
         let event = TokenEvent::Token {
-            dispatch: self.run.echo(),
-            offset: self.next,
-            text: output::token(&self.run.call, self.next),
+            dispatch: self.active_call.dispatch_id(),
+            offset: self.next_token,
+            text: output::token(&self.active_call.call, self.next_token),
         };
-        self.next += 1;
+        self.next_token += 1;
         let mut text = render(&event);
-        if self.run.faults.double_tokens {
+        if self.active_call.faults.double_tokens {
             text = text.repeat(2);
         }
         Some(Ok(Bytes::from(text)))
     }
 
     fn end(&mut self) -> Option<Result<Bytes, std::io::Error>> {
-        self.ended = true;
-        self.run.state.log.finish(self.run.place);
-        if self.run.faults.drop_end_marker {
+        self.is_finished = true;
+        self.active_call
+            .state
+            .log
+            .finish(self.active_call.log_index);
+        if self.active_call.faults.drop_end_marker {
             return None;
         }
         let event = TokenEvent::End {
-            dispatch: self.run.echo(),
-            tokens: self.total,
+            dispatch: self.active_call.dispatch_id(),
+            tokens: self.total_tokens,
         };
         Some(Ok(Bytes::from(render(&event))))
     }
--- a/crates/standins/src/targets.rs
+++ b/crates/standins/src/targets.rs
@@ -1,8 +1,8 @@
-//! Targets of every kind, many in one server.
+//! Target stand-ins of every service kind, in one server.
 //!
-//! One `actix-web` server listens on a port per target and tells them apart by
-//! the port a call came in on. A call waits for one of the target's slots,
-//! is written down, takes its time, and is answered as its faults allow.
+//! The server listens on one port per target and identifies the target by the
+//! local port. A call waits for a slot of the target, is recorded in the
+//! execution log, takes its processing time and is answered subject to faults.
 
 use std::collections::HashMap;
 use std::net::{SocketAddr, TcpListener};
@@ -17,32 +17,32 @@
 use hollowsail_config::Deployment;
 use tokio::sync::Semaphore;
 
+use crate::execution_log::{Execution, ExecutionLog};
 use crate::faults::TargetFaults;
 use crate::profile::Profile;
-use crate::record::{Execution, ExecutionLog};
-use crate::target_run::Run;
-use crate::target_state::{Busy, Counted, TargetState};
+use crate::target_call::ActiveCall;
+use crate::target_state::{BusyTimer, CountGuard, TargetState};
 
-/// All running stand-ins of one deployment's targets.
+/// Running stand-ins for the targets of a deployment.
 pub struct TargetStandIns {
     /// Address of each target, by name.
     pub addresses: HashMap<String, SocketAddr>,
     pub log: ExecutionLog,
     states: HashMap<String, Arc<TargetState>>,
-    /// Slots of one target and slot-time, by service.
-    busy: Vec<(String, u32, Arc<AtomicU64>)>,
+    /// Service name, slots per target and total slot time in microseconds.
+    slot_times: Vec<(String, u32, Arc<AtomicU64>)>,
     handle: ServerHandle,
 }
 
 impl TargetStandIns {
-    /// Starts one listener per target on loopback, port 0.
+    /// Starts one listener per target, each on a free loopback port.
     pub fn start(deployment: &Deployment, profile: Profile) -> std::io::Result<Self> {
         let log = ExecutionLog::default();
         let mut addresses = HashMap::new();
         let mut states = HashMap::new();
         let mut by_port = HashMap::new();
         let mut listeners = Vec::new();
-        let busy: Vec<Arc<AtomicU64>> =
+        let slot_times: Vec<Arc<AtomicU64>> =
             deployment.services.iter().map(|_| Arc::default()).collect();
         for target in &deployment.targets {
             let listener = TcpListener::bind("127.0.0.1:0")?;
@@ -55,12 +55,12 @@
                 reports_load: service.reports_load,
                 concurrency: service.concurrency,
                 slots: Arc::new(Semaphore::new(service.concurrency as usize)),
-                held: Arc::default(),
+                in_flight: Arc::default(),
                 running: Arc::default(),
                 cache: Mutex::default(),
                 faults: Mutex::default(),
                 load: Mutex::default(),
-                busy: busy[target.service.index()].clone(),
+                slot_time_us: slot_times[target.service.index()].clone(),
                 profile,
                 log: log.clone(),
             });
@@ -74,11 +74,13 @@
             addresses,
             log,
             states,
-            busy: deployment
+            slot_times: deployment
                 .services
                 .iter()
-                .zip(busy)
-                .map(|(service, busy)| (service.name.clone(), service.concurrency, busy))
+                .zip(slot_times)
+                .map(|(service, slot_time_us)| {
+                    (service.name.clone(), service.concurrency, slot_time_us)
+                })
                 .collect(),
             handle,
         })
@@ -91,10 +93,10 @@
         }
     }
 
-    /// Seconds of whole targets spent so far, by service: slot-time over the
-    /// slots of a target, wasted work included.
+    /// Target seconds used so far, by service: slot time divided by the slots of a
+    /// target, including the time of cancelled calls.
     pub fn target_seconds(&self) -> Vec<(String, f64)> {
-        self.busy
+        self.slot_times
             .iter()
             .map(|(service, slots, micros)| {
                 let seconds = micros.load(Ordering::Relaxed) as f64 / 1e6;
@@ -103,7 +105,6 @@
             .collect()
     }
 
-    /// Stops listening.
     pub async fn stop(self) {
         self.handle.stop(false).await;
     }
@@ -120,7 +121,7 @@
             .route("/call", web::post().to(handle_call))
     })
     .workers(2)
-    // A caller that goes away ends its call, as on an engine that can cancel.
+    // A call is cancelled when its caller disconnects.
     .h1_allow_half_closed(false)
     .disable_signals()
     .shutdown_timeout(1);
@@ -146,33 +147,33 @@
     if let Some(refusal) = refuse(&state, &faults) {
         return refusal;
     }
-    let held = Counted::new(&state.held);
+    let in_flight = CountGuard::new(&state.in_flight);
     let Ok(slot) = state.slots.clone().acquire_owned().await else {
         return HttpResponse::ServiceUnavailable().finish();
     };
-    let busy = Busy {
-        since: Instant::now(),
-        total: state.busy.clone(),
+    let busy_timer = BusyTimer {
+        started: Instant::now(),
+        slot_time_us: state.slot_time_us.clone(),
     };
     let org = header(&req, ORGANISATION_HEADER);
-    let place = state.log.begin(Execution {
+    let log_index = state.log.begin(Execution {
         target: state.name.clone(),
         hall: state.hall.clone(),
         org: org.clone(),
         dispatch: call.dispatch.clone(),
         finished: false,
     });
-    let run = Run {
+    let active_call = ActiveCall {
         state,
         faults,
         org,
         call: call.into_inner(),
-        place,
-        _held: held,
-        _busy: busy,
+        log_index,
+        _in_flight: in_flight,
+        _busy_timer: busy_timer,
         _slot: slot,
     };
-    run.answer().await
+    active_call.answer().await
 }
 
 fn refuse(state: &TargetState, faults: &TargetFaults) -> Option<HttpResponse> {
--- a/src/ops/local.rs
+++ b/src/ops/local.rs
@@ -102,7 +102,7 @@
 fn print_usage(cx: &mut Context<'_>, fleet: &LocalFleet) {
     let deployment = &fleet.deployment;
     cx.print(format_args!(
-        "{} runs on loopback; Ctrl-C ends it",
+        "{} runs on loopback; press Ctrl-C to stop",
         deployment.name
     ));
     for entry in fleet.running() {
--- a/src/ops/local_platform.rs
+++ b/src/ops/local_platform.rs
@@ -166,7 +166,7 @@
 fn print_usage(cx: &mut Context<'_>, site: &Site, places: &[EntryPlace]) {
     for place in places {
         cx.print(format_args!(
-            "{} takes callers at {}",
+            "{} listens for callers at {}",
             place.host,
             place.callers()
         ));
@@ -174,5 +174,5 @@
     for route in &site.routes {
         cx.print(format_args!("route {} to {}", route.path, route.service));
     }
-    cx.print(format_args!("end with ctrl-c"));
+    cx.print(format_args!("press Ctrl-C to stop"));
 }
