--- a/crates/local/tests/suite/stopping.rs
+++ b/crates/local/tests/suite/stopping.rs
@@ -16,7 +16,7 @@
     let address = fleet.entry(0).callers;
     let mut calls = Vec::new();
     let stop = actix_rt::spawn(fleet.take_entry(0).expect("the entry runs").stop());
-    // The load balancer still sends requests.
+    // The load balancer still sends requests after the stop begins.
     for index in 0..8 {
         calls.push(actix_rt::spawn(async move {
             let id = format!("late-{index}");
--- a/crates/standins/src/execution_log.rs
+++ b/crates/standins/src/execution_log.rs
@@ -1,4 +1,4 @@
-//! Log of the calls that targets executed, the reference for checks of answers.
+//! Log of the calls that targets executed, the ground truth for tests.
 
 use std::sync::{Arc, Mutex};
 
