--- a/crates/bench/src/day/engines.rs
+++ b/crates/bench/src/day/engines.rs
@@ -8,7 +8,7 @@
 use hollowsail_fleet::rendezvous;
 use hollowsail_routing::limit::SETTLED_AFTER_MS;
 use hollowsail_routing::{
-    Demand, DeskEngine, EngineDesk, LimitShare, PlacementEnd, PlacementKey, Versions,
+    Demand, EngineScheduler, LimitShare, PlacementEnd, PlacementKey, SchedulableEngine, Versions,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -63,9 +63,9 @@
     day: DayModel,
     model: EngineModel,
     /// The engines as the scheduler sees them.
-    schedulable: Vec<DeskEngine<usize>>,
+    schedulable: Vec<SchedulableEngine<usize>>,
     engines: Vec<Engine>,
-    scheduler: EngineDesk<usize>,
+    scheduler: EngineScheduler<usize>,
     choice: EngineChoice,
     rng: SmallRng,
     /// Prefix tokens prefilled on one engine while another one had them cached.
@@ -79,14 +79,14 @@
 impl EnginePool {
     /// Creates idle engines spread over the halls.
     pub fn new(day: &DayModel, policy: &DayPolicy, seed: u64) -> Self {
-        let mut scheduler = EngineDesk::default();
-        let engines: Vec<DeskEngine<usize>> = (0..day.engines.count)
-            .map(|index| DeskEngine {
+        let mut scheduler = EngineScheduler::default();
+        let engines: Vec<SchedulableEngine<usize>> = (0..day.engines.count)
+            .map(|index| SchedulableEngine {
                 key: index,
                 slots: day.engines.slots,
                 hall: hall_name(index % day.halls),
                 version: String::new(),
-                cold: None,
+                warm_up: None,
                 limit: None,
             })
             .collect();
@@ -198,7 +198,7 @@
     /// Handles the first event of a run: its prefill is done.
     pub fn first_event(&mut self, run: Run, now: u64) {
         if let Some(key) = run.placement {
-            self.scheduler.prompt_read(key, now);
+            self.scheduler.prefill_done(key, now);
         }
     }
 
@@ -208,7 +208,7 @@
         state.running = state.running.saturating_sub(1);
         let end = match completed {
             true => PlacementEnd::Whole,
-            false => PlacementEnd::Left,
+            false => PlacementEnd::Abandoned,
         };
         if let Some(key) = run.placement {
             self.scheduler.ended(key, end, now);
--- a/crates/bench/src/day/pool.rs
+++ b/crates/bench/src/day/pool.rs
@@ -124,7 +124,7 @@
 
     /// Releases the memory of a result.
     pub fn release_result(&mut self, queue: usize, worker: usize, bytes: u64) {
-        self.queues[queue].free(self.keys[queue][worker], bytes);
+        self.queues[queue].release_memory(self.keys[queue][worker], bytes);
         let reserved = &mut self.workers[worker].reserved_bytes;
         *reserved = reserved.saturating_sub(bytes);
     }
@@ -275,9 +275,9 @@
         let queue = call.queue;
         let key = self.keys[queue][worker];
         if !has_memory {
-            self.queues[queue].free(key, piece.result_bytes);
+            self.queues[queue].release_memory(key, piece.result_bytes);
             if !call.fails {
-                self.queues[queue].no_room(key, now);
+                self.queues[queue].mark_memory_full(key, now);
             }
             return None;
         }
--- a/crates/bench/src/day/world/forecast.rs
+++ b/crates/bench/src/day/world/forecast.rs
@@ -1,7 +1,9 @@
 //! The daemon's admission forecast: predicts from the queued work whether a request meets its
 //! target time.
 
-use hollowsail_routing::{admit, longest_way, ServiceLoad, StageDemand, StageExpectation, Verdict};
+use hollowsail_routing::{
+    admit, critical_path, ServiceLoad, StageDemand, StageExpectation, Verdict,
+};
 
 use super::super::draw::DrawnRequest;
 use super::super::model::{KindModel, StageModel};
@@ -30,7 +32,7 @@
             let demand = (pieces > 0).then(|| self.demand(kind, request, stage, pieces));
             (stage.after.as_slice(), demand)
         });
-        let mut path = longest_way(demands);
+        let mut path = critical_path(demands);
         path.push(ENGINE);
         let used = MARGIN_MS + self.now - requested_at;
         admit(kind.target_ms.saturating_sub(used), &path, 0.0) == Verdict::Admit
--- a/crates/bench/src/day/world/mod.rs
+++ b/crates/bench/src/day/world/mod.rs
@@ -10,7 +10,7 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-use hollowsail_stages::{PieceAt, PieceKey, StageGraph, StageSize};
+use hollowsail_stages::{PieceIndex, PieceKey, StageGraph, StageSpec};
 use slotmap::{new_key_type, SlotMap};
 
 use super::draw::DrawnRequest;
@@ -51,7 +51,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Job {
     request: RequestKey,
-    index: PieceAt,
+    index: PieceIndex,
     /// Its time as a multiple of the pool's.
     work: f64,
 }
@@ -80,8 +80,8 @@
     /// When the caller sent it, in milliseconds.
     requested_at: u64,
     graph: StageGraph,
-    retained: HashMap<PieceAt, RetainedResult>,
-    waiting: HashMap<PieceAt, Waiting>,
+    retained: HashMap<PieceIndex, RetainedResult>,
+    waiting: HashMap<PieceIndex, Waiting>,
     run: Option<Run>,
 }
 
@@ -160,7 +160,7 @@
     let sizes = kind.stages.iter().zip(pieces);
     StageGraph::new(
         sizes
-            .map(|(stage, &pieces)| StageSize {
+            .map(|(stage, &pieces)| StageSpec {
                 pieces,
                 after: stage.after.clone(),
             })
--- a/crates/bench/src/day/world/stages.rs
+++ b/crates/bench/src/day/world/stages.rs
@@ -1,7 +1,7 @@
 //! The stages of a request: queues its pieces, completes them in calls, and retains their
 //! results as long as they are needed.
 
-use hollowsail_stages::{GroupKey, Halls, PieceAt, PieceOrder};
+use hollowsail_stages::{GroupKey, Halls, PieceIndex, PieceOrder};
 
 use super::super::model::KindModel;
 use super::super::policy::ReservedTime;
@@ -29,7 +29,7 @@
         self.start_calls();
     }
 
-    fn enqueue_piece(&mut self, key: RequestKey, index: PieceAt) {
+    fn enqueue_piece(&mut self, key: RequestKey, index: PieceIndex) {
         let request = &self.requests[key];
         let stage = &self.kind(request.attempt).stages[index.stage];
         let job = Job {
@@ -47,14 +47,14 @@
     }
 
     /// Attributes that determine a piece's position in its queue.
-    fn piece_order(&self, request: &Request, index: PieceAt) -> PieceOrder {
+    fn piece_order(&self, request: &Request, index: PieceIndex) -> PieceOrder {
         let kind = self.kind(request.attempt);
         let stage = &kind.stages[index.stage];
         let retained = request.retained.iter();
         let inputs = retained.filter(|(input, _)| stage.after.contains(&input.stage));
         let input_bytes: u64 = inputs.map(|(_, result)| result.bytes).sum();
         let later = |stage| self.reserved_ms(kind, stage);
-        let reserved_ms = request.graph.ms_after(index.stage, &later);
+        let reserved_ms = request.graph.critical_path_ms_after(index.stage, &later);
         PieceOrder {
             priority: kind.priority,
             due: (request.requested_at + kind.target_ms).saturating_sub(ENGINE_MS + reserved_ms),
@@ -117,7 +117,7 @@
         let handle = self.handles.to_string();
         let request = &mut self.requests[piece.job.request];
         request.waiting.remove(&piece.job.index);
-        request.graph.made(piece.job.index, handle.clone());
+        request.graph.complete(piece.job.index, handle.clone());
         let result = RetainedResult {
             pool,
             queue: piece.queue,
@@ -126,7 +126,7 @@
             handle,
         };
         request.retained.insert(piece.job.index, result);
-        let consumed = request.graph.take_spent();
+        let consumed = request.graph.take_consumed();
         let released: Vec<RetainedResult> = request
             .retained
             .extract_if(|_, result| consumed.contains(&result.handle))
--- a/crates/bench/src/decision.rs
+++ b/crates/bench/src/decision.rs
@@ -9,7 +9,7 @@
 use hollowsail_config::{PipelineKey, SourceFile};
 use hollowsail_entry::admission;
 use hollowsail_entry::job::Job;
-use hollowsail_entry::routes::{self, Found};
+use hollowsail_entry::routes::{self, RouteOutcome};
 use hollowsail_entry::task::StageTask;
 use hollowsail_entry::worker::Worker;
 use hollowsail_local::{LocalFleet, LocalOptions};
@@ -70,7 +70,7 @@
     let task = StageTask {
         worker: &worker,
         job: &job,
-        at: 0,
+        stage_index: 0,
         stage: &deployment.pipelines[0].stages[0],
         plan: StagePlan::all_of(1000),
         over_share: false,
@@ -81,7 +81,7 @@
     for _ in 0..ROUNDS {
         let admitted = admission::judge(&worker, deployment, org, job.pipeline, 10_000);
         let route = routes::find(&task, 1, &[], None, REMAINING).await;
-        found += u32::from(admitted.is_ok() && matches!(route, Found::Route(_)));
+        found += u32::from(admitted.is_ok() && matches!(route, RouteOutcome::Route(_)));
     }
     let elapsed = started.elapsed();
     fleet.shut_down().await;
--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -1,7 +1,7 @@
 //! Policies by name: the daemon's own, the baselines it is compared with, and its own with one
 //! mechanism disabled.
 
-use hollowsail_routing::{Choosing, Switches};
+use hollowsail_routing::{ChoicePolicy, Switches};
 
 /// Name of the daemon's own policy.
 pub const OWN: &str = "hollowsail";
@@ -25,9 +25,9 @@
 pub fn switches(name: &str) -> Option<Switches> {
     match name {
         OWN => Some(Switches::default()),
-        "random" => Some(Switches::baseline(Choosing::Random)),
-        "round-robin" => Some(Switches::baseline(Choosing::RoundRobin)),
-        "least-reported-load" => Some(Switches::baseline(Choosing::LeastReportedLoad)),
+        "random" => Some(Switches::baseline(ChoicePolicy::Random)),
+        "round-robin" => Some(Switches::baseline(ChoicePolicy::RoundRobin)),
+        "least-reported-load" => Some(Switches::baseline(ChoicePolicy::LeastReportedLoad)),
         _ => without(name.strip_prefix(WITHOUT)?),
     }
 }
@@ -36,7 +36,7 @@
     let all = Switches::default();
     Some(match mechanism {
         "choosing" => Switches {
-            choosing: Choosing::Random,
+            choosing: ChoicePolicy::Random,
             ..all
         },
         "early-refusal" => Switches {
--- a/crates/bench/tests/suite/groups.rs
+++ b/crates/bench/tests/suite/groups.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use hollowsail_fleet::{groups, rendezvous};
-use hollowsail_routing::{Demand, DeskEngine, EngineDesk, PlacementEnd, Versions};
+use hollowsail_routing::{Demand, EngineScheduler, PlacementEnd, SchedulableEngine, Versions};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -34,24 +34,24 @@
 
 /// By rendezvous hashing into groups of 32 engines.
 fn by_rendezvous(engines: &[String], name: &str) -> String {
-    groups::place_of(name, groups::count(engines.len(), 32)).to_string()
+    groups::group_of(name, groups::count(engines.len(), 32)).to_string()
 }
 
 /// One group of all engines.
 fn single_group(engines: &[String], name: &str) -> String {
-    groups::place_of(name, groups::count(engines.len(), 512)).to_string()
+    groups::group_of(name, groups::count(engines.len(), 512)).to_string()
 }
 
-fn group_engines(engines: &[String], split: Split, group: &str) -> Vec<DeskEngine<String>> {
+fn group_engines(engines: &[String], split: Split, group: &str) -> Vec<SchedulableEngine<String>> {
     let own = engines
         .iter()
         .filter(|engine| split(engines, engine) == group);
-    let own = own.map(|engine| DeskEngine {
+    let own = own.map(|engine| SchedulableEngine {
         key: engine.clone(),
         slots: 64,
         hall: "hall-a".to_string(),
         version: String::new(),
-        cold: None,
+        warm_up: None,
         limit: None,
     });
     own.collect()
@@ -64,7 +64,7 @@
         .map(|_| format!("i-{:08x}", rng.random::<u32>()))
         .collect();
     engines.sort();
-    let mut schedulers: HashMap<String, EngineDesk<String>> = HashMap::new();
+    let mut schedulers: HashMap<String, EngineScheduler<String>> = HashMap::new();
     let mut cached: HashMap<usize, Vec<String>> = HashMap::new();
     let mut running = std::collections::VecDeque::new();
     let mut tokens = 0;
@@ -74,8 +74,8 @@
             let Some((_, group, key)) = running.pop_front() else {
                 break;
             };
-            let scheduler: &mut EngineDesk<String> = schedulers.entry(group).or_default();
-            scheduler.prompt_read(key, now);
+            let scheduler: &mut EngineScheduler<String> = schedulers.entry(group).or_default();
+            scheduler.prefill_done(key, now);
             scheduler.ended(key, PlacementEnd::Whole, now);
         }
         if prompt % PROMPTS_PER_REPLACEMENT == 0 {
@@ -93,7 +93,7 @@
         let name = format!("part-{prefix}");
         let group = split(&engines, &name);
         let scheduler = schedulers.entry(group.clone()).or_insert_with(|| {
-            let mut scheduler = EngineDesk::default();
+            let mut scheduler = EngineScheduler::default();
             scheduler.set_engines(now, &group_engines(&engines, split, &group));
             scheduler
         });
--- a/crates/bench/tests/suite/history.rs
+++ b/crates/bench/tests/suite/history.rs
@@ -37,7 +37,7 @@
         },
         input: json!({ "of": "r" }),
         latency: Duration::ZERO,
-        answer: Some(AnswerBody::ended("r", stages, false, result)),
+        answer: Some(AnswerBody::from_stages("r", stages, false, result)),
         second: false,
     }
 }
--- a/crates/clients/src/lib.rs
+++ b/crates/clients/src/lib.rs
@@ -11,4 +11,4 @@
 
 pub use host_list::{HostList, HostListClient, HostRecord, HostStatus};
 pub use store::{Expect, StoreClient, StoreError, StoreReply, StoreRequest};
-pub use target::{Call, CallError, Sent, TokenEvent, TokenStream};
+pub use target::{Call, CallError, SendProgress, TokenEvent, TokenStream};
--- a/crates/clients/src/store.rs
+++ b/crates/clients/src/store.rs
@@ -1,7 +1,7 @@
 //! Client of the platform's key-value service.
 //!
 //! One POST per call, `rmp-serde` both ways. A call without an answer fails with
-//! [`StoreError::Unclear`]: a write may have taken effect, and the caller must
+//! [`StoreError::OutcomeUnknown`]: a write may have taken effect, and the caller must
 //! read the key back to determine that.
 
 use std::net::SocketAddr;
@@ -79,7 +79,7 @@
     #[snafu(display("the store could not be reached; nothing was sent: {reason}"))]
     NotSent { reason: String },
     #[snafu(display("the store did not answer; the call may have taken effect: {reason}"))]
-    Unclear { reason: String },
+    OutcomeUnknown { reason: String },
     #[snafu(display("the store refused the call because of its rate limit; try again later"))]
     Limited,
 }
@@ -178,7 +178,7 @@
 }
 
 fn outcome_unknown<T>(err: impl ToString) -> Result<T, StoreError> {
-    Err(StoreError::Unclear {
+    Err(StoreError::OutcomeUnknown {
         reason: err.to_string(),
     })
 }
--- a/crates/clients/src/target.rs
+++ b/crates/clients/src/target.rs
@@ -24,7 +24,7 @@
 /// Organisation on whose behalf the call runs.
 pub const ORGANISATION_HEADER: &str = "hollowsail-organisation";
 /// Sent by a draining target, which takes no new work.
-pub const LEAVING_HEADER: &str = "hollowsail-leaving";
+pub const DRAINING_HEADER: &str = "hollowsail-leaving";
 /// Requests at the target, possibly out of date.
 pub const LOAD_HEADER: &str = "hollowsail-load";
 /// Largest answer in bytes.
@@ -85,43 +85,43 @@
 /// How far a failed call got; `hollowsail-routing` decides what that implies
 /// about the target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Sent {
+pub enum SendProgress {
     /// No byte was written to a socket.
-    Nothing,
+    NotSent,
     /// The target answered with this refusal.
     Refusal(u16),
     /// The request may have reached the target, which sent no valid answer.
-    Something,
+    MaybeSent,
 }
 
 /// A call without a valid answer.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{reason}"))]
 pub struct CallError {
-    pub sent: Sent,
+    pub sent: SendProgress,
     /// The target reported that it is draining.
-    pub leaving: bool,
+    pub draining: bool,
     pub reason: String,
 }
 
 impl CallError {
-    fn new(sent: Sent, reason: impl ToString) -> Self {
+    fn new(sent: SendProgress, reason: impl ToString) -> Self {
         CallError {
             sent,
-            leaving: false,
+            draining: false,
             reason: reason.to_string(),
         }
     }
 
     fn broken(reason: impl ToString) -> Self {
-        CallError::new(Sent::Something, reason)
+        CallError::new(SendProgress::MaybeSent, reason)
     }
 }
 
 /// The target's reports on itself in an answer's headers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct TargetNotice {
-    pub leaving: bool,
+pub struct TargetReports {
+    pub draining: bool,
     pub load: Option<u32>,
 }
 
@@ -134,7 +134,7 @@
     org: &str,
     call: &Call,
     remaining: Duration,
-) -> Result<(Value, TargetNotice), CallError> {
+) -> Result<(Value, TargetReports), CallError> {
     let (mut reply, notice) = send(client, address, org, call, remaining).await?;
     let body = reply
         .body()
@@ -167,7 +167,7 @@
     org: &str,
     call: &Call,
     remaining: Duration,
-) -> Result<(TokenStream, TargetNotice), CallError> {
+) -> Result<(TokenStream, TargetReports), CallError> {
     let (reply, notice) = send(client, address, org, call, remaining).await?;
     let stream = TokenStream {
         events: Box::pin(reply.eventsource()),
@@ -183,7 +183,7 @@
     org: &str,
     call: &Call,
     remaining: Duration,
-) -> Result<(Reply, TargetNotice), CallError> {
+) -> Result<(Reply, TargetReports), CallError> {
     let sent = client
         .post(format!("http://{address}/call"))
         .timeout(remaining)
@@ -194,7 +194,9 @@
         .await;
     let reply = match sent {
         Ok(reply) => reply,
-        Err(err) if http::nothing_sent(&err) => return Err(CallError::new(Sent::Nothing, err)),
+        Err(err) if http::nothing_sent(&err) => {
+            return Err(CallError::new(SendProgress::NotSent, err))
+        }
         Err(err) => return Err(CallError::broken(err)),
     };
     let reports = read_reports(&reply);
@@ -203,20 +205,20 @@
     }
     let status = reply.status().as_u16();
     let sent = if (400..600).contains(&status) {
-        Sent::Refusal(status)
+        SendProgress::Refusal(status)
     } else {
-        Sent::Something
+        SendProgress::MaybeSent
     };
     Err(CallError {
         sent,
-        leaving: reports.leaving,
+        draining: reports.draining,
         reason: format!("the target answered with status {status}"),
     })
 }
 
-fn read_reports<S>(reply: &awc::ClientResponse<S>) -> TargetNotice {
-    TargetNotice {
-        leaving: reply.headers().contains_key(LEAVING_HEADER),
+fn read_reports<S>(reply: &awc::ClientResponse<S>) -> TargetReports {
+    TargetReports {
+        draining: reply.headers().contains_key(DRAINING_HEADER),
         load: reply
             .headers()
             .get(LOAD_HEADER)
@@ -239,7 +241,7 @@
 pub enum StreamStep {
     Token(String),
     /// The end event arrived, after all tokens.
-    Whole,
+    End,
 }
 
 impl TokenStream {
@@ -277,7 +279,7 @@
                 self.next_offset
             ))),
             TokenEvent::End { tokens, .. } if tokens == self.next_offset => {
-                Ok(Some(StreamStep::Whole))
+                Ok(Some(StreamStep::End))
             }
             TokenEvent::End { tokens, .. } => Err(CallError::broken(format!(
                 "the stream ended after {} of {tokens} tokens",
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,8 +1,8 @@
 //! A monotonic clock that includes the time for which the host is suspended.
 //!
 //! [`Instant`] and timers stop during a suspension, but deadlines of callers, targets and
-//! other hosts don't. A [`Moment`] includes that time, from the kernel's boot clock.
-//! [`Moment::timer`] converts it for timers. A timer that was set before a suspension fires
+//! other hosts don't. A [`BootInstant`] includes that time, from the kernel's boot clock.
+//! [`BootInstant::to_instant`] converts it for timers. A timer that was set before a suspension fires
 //! late by its length, so the code behind it checks the deadline again.
 
 use std::cmp::Ordering;
@@ -20,13 +20,13 @@
     let boot = read(ClockId::Boottime);
     let suspended = suspension(monotonic, boot);
     #[cfg(feature = "pretend")]
-    let suspended = suspended + pretended::time();
+    let suspended = suspended + simulated::time();
     suspended
 }
 
 /// Suspensions simulated by tests, for the whole process.
 #[cfg(feature = "pretend")]
-pub mod pretended {
+pub mod simulated {
     use std::sync::atomic::{AtomicU64, Ordering};
     use std::time::Duration;
 
@@ -58,31 +58,31 @@
 
 /// An instant on a monotonic clock that includes suspensions of the host.
 #[derive(Debug, Clone, Copy)]
-pub struct Moment {
+pub struct BootInstant {
     monotonic: Instant,
     /// Total suspension of the host up to then.
     suspended: Duration,
 }
 
-impl Moment {
+impl BootInstant {
     pub fn now() -> Self {
-        Moment::new(Instant::now(), suspended())
+        BootInstant::new(Instant::now(), suspended())
     }
 
     /// Creates an instant from a monotonic one and the total suspension up to then.
     pub fn new(monotonic: Instant, suspended: Duration) -> Self {
-        Moment {
+        BootInstant {
             monotonic,
             suspended,
         }
     }
 
     pub fn elapsed(&self) -> Duration {
-        Moment::now().saturating_since(*self)
+        BootInstant::now().saturating_since(*self)
     }
 
     /// Time from `earlier` to this instant; zero when `earlier` is later.
-    pub fn saturating_since(&self, earlier: Moment) -> Duration {
+    pub fn saturating_since(&self, earlier: BootInstant) -> Duration {
         match self.monotonic.checked_duration_since(earlier.monotonic) {
             Some(monotonic) => (monotonic + self.suspended).saturating_sub(earlier.suspended),
             None => {
@@ -93,44 +93,44 @@
     }
 
     /// The [`Instant`] for a timer that is set now, without further suspensions.
-    pub fn timer(&self) -> Instant {
-        let now = Moment::now();
+    pub fn to_instant(&self) -> Instant {
+        let now = BootInstant::now();
         now.monotonic + self.saturating_since(now)
     }
 }
 
-impl Add<Duration> for Moment {
-    type Output = Moment;
+impl Add<Duration> for BootInstant {
+    type Output = BootInstant;
 
-    fn add(self, time: Duration) -> Moment {
-        Moment::new(self.monotonic + time, self.suspended)
+    fn add(self, time: Duration) -> BootInstant {
+        BootInstant::new(self.monotonic + time, self.suspended)
     }
 }
 
-impl Sub<Moment> for Moment {
+impl Sub<BootInstant> for BootInstant {
     type Output = Duration;
 
-    fn sub(self, earlier: Moment) -> Duration {
+    fn sub(self, earlier: BootInstant) -> Duration {
         self.saturating_since(earlier)
     }
 }
 
-impl PartialEq for Moment {
-    fn eq(&self, other: &Moment) -> bool {
+impl PartialEq for BootInstant {
+    fn eq(&self, other: &BootInstant) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
 
-impl Eq for Moment {}
+impl Eq for BootInstant {}
 
-impl PartialOrd for Moment {
-    fn partial_cmp(&self, other: &Moment) -> Option<Ordering> {
+impl PartialOrd for BootInstant {
+    fn partial_cmp(&self, other: &BootInstant) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Moment {
-    fn cmp(&self, other: &Moment) -> Ordering {
+impl Ord for BootInstant {
+    fn cmp(&self, other: &BootInstant) -> Ordering {
         let ahead = self.saturating_since(*other);
         ahead.cmp(&other.saturating_since(*self))
     }
--- a/crates/clock/tests/suite/main.rs
+++ b/crates/clock/tests/suite/main.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use hollowsail_clock::{suspension, Moment};
+use hollowsail_clock::{suspension, BootInstant};
 
 const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -19,8 +19,8 @@
 #[test]
 fn elapsed_time_includes_suspension() {
     let start = Instant::now();
-    let before = Moment::new(start, ms(0));
-    let after = Moment::new(start + ms(200), ms(10_000));
+    let before = BootInstant::new(start, ms(0));
+    let after = BootInstant::new(start + ms(200), ms(10_000));
     assert_eq!(after.saturating_since(before), ms(10_200));
     assert_eq!(before.saturating_since(after), ms(0));
     assert!(after > before);
@@ -30,11 +30,11 @@
 #[test]
 fn deadline_passes_during_suspension() {
     let start = Instant::now();
-    let deadline = Moment::new(start, ms(0)) + ms(2_000);
-    let resumed = Moment::new(start + ms(100), ms(10_000));
+    let deadline = BootInstant::new(start, ms(0)) + ms(2_000);
+    let resumed = BootInstant::new(start + ms(100), ms(10_000));
     assert!(resumed > deadline);
     assert_eq!(deadline.saturating_since(resumed), ms(0), "no time is left");
-    let not_suspended = Moment::new(start + ms(100), ms(0));
+    let not_suspended = BootInstant::new(start + ms(100), ms(0));
     assert_eq!(deadline.saturating_since(not_suspended), ms(1_900));
 }
 
@@ -42,18 +42,18 @@
 #[test]
 fn order_counts_monotonic_time_and_suspension() {
     let start = Instant::now();
-    let a = Moment::new(start + ms(5_000), ms(0));
-    let b = Moment::new(start, ms(6_000));
+    let a = BootInstant::new(start + ms(5_000), ms(0));
+    let b = BootInstant::new(start, ms(6_000));
     assert!(b > a);
     assert_eq!(b - a, ms(1_000));
-    assert_eq!(a, Moment::new(start, ms(5_000)));
+    assert_eq!(a, BootInstant::new(start, ms(5_000)));
 }
 
 #[test]
 fn now_and_timers_use_the_present() {
-    let now = Moment::now();
+    let now = BootInstant::now();
     assert!(now.elapsed() < ms(1_000));
-    let timer = (now + ms(300)).timer();
+    let timer = (now + ms(300)).to_instant();
     let remaining = timer.saturating_duration_since(Instant::now());
     assert!(remaining <= ms(300) && remaining > ms(100), "{remaining:?}");
 }
--- a/crates/config/src/chunk.rs
+++ b/crates/config/src/chunk.rs
@@ -89,7 +89,7 @@
 
 impl Head {
     /// The next head after `parent`; `None` creates the first.
-    pub fn following(parent: Option<&Head>, apply_id: &str, files: Vec<FileEntry>) -> Head {
+    pub fn successor_of(parent: Option<&Head>, apply_id: &str, files: Vec<FileEntry>) -> Head {
         let recent = parent.map_or(Vec::new(), |parent| {
             let before = RecentApply {
                 revision: parent.revision,
@@ -123,7 +123,7 @@
     }
 
     /// Oldest revision whose apply id is recorded.
-    pub fn remembers_from(&self) -> u64 {
+    pub fn oldest_recorded_revision(&self) -> u64 {
         self.recent.last().map_or(self.revision, |r| r.revision)
     }
 
--- a/crates/config/tests/suite/chunks.rs
+++ b/crates/config/tests/suite/chunks.rs
@@ -8,7 +8,7 @@
 use proptest::test_runner::RngSeed;
 
 fn head(files: Vec<hollowsail_config::chunk::FileEntry>) -> Head {
-    Head::following(None, "a", files)
+    Head::successor_of(None, "a", files)
 }
 
 fn organisations(count: usize, weight_of_last: u32) -> SourceFile {
--- a/crates/config/tests/suite/large.rs
+++ b/crates/config/tests/suite/large.rs
@@ -53,7 +53,7 @@
     assert!(chunks
         .iter()
         .all(|(_, bytes)| bytes.len() < MAX_STORE_VALUE_BYTES));
-    let head = Head::following(None, "a", files);
+    let head = Head::successor_of(None, "a", files);
     let bytes = rmp_serde::to_vec(&head).expect("the head serializes");
     assert!(
         bytes.len() < MAX_STORE_VALUE_BYTES / 10,
--- a/crates/connect/src/crash_check.rs
+++ b/crates/connect/src/crash_check.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use futures_util::future::{FutureExt, LocalBoxFuture, Shared};
-use hollowsail_clock::Moment;
+use hollowsail_clock::BootInstant;
 use tokio::net::TcpStream;
 
 use crate::dial::{dial, DialError};
@@ -24,18 +24,18 @@
 
 /// Checks whether a target has crashed; concurrent checks share one probe.
 #[derive(Default)]
-pub struct EndCheck {
+pub struct CrashCheck {
     last: RefCell<Option<Probe>>,
 }
 
 struct Probe {
-    started: Moment,
+    started: BootInstant,
     result: Shared<LocalBoxFuture<'static, bool>>,
 }
 
-impl EndCheck {
+impl CrashCheck {
     /// True when no process listens at the target's address.
-    pub async fn has_ended(&self, addr: SocketAddr) -> bool {
+    pub async fn has_crashed(&self, addr: SocketAddr) -> bool {
         let result = {
             let mut last = self.last.borrow_mut();
             match &*last {
@@ -43,7 +43,7 @@
                 _ => {
                     let result = refuses(addr).boxed_local().shared();
                     *last = Some(Probe {
-                        started: Moment::now(),
+                        started: BootInstant::now(),
                         result: result.clone(),
                     });
                     result
--- a/crates/connect/src/lib.rs
+++ b/crates/connect/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! [`Pool::send`] reuses an idle connection or dials, and returns an [`Exchange`];
 //! [`Exchange::into_body`] reads the answer and returns the connection to the pool.
-//! [`Pool::call`] does both for answers that are buffered. [`EndCheck`] distinguishes a
+//! [`Pool::call`] does both for answers that are buffered. [`CrashCheck`] distinguishes a
 //! crashed peer from a broken connection.
 
 mod body;
@@ -17,7 +17,7 @@
 
 pub use body::AnswerBody;
 pub use call::WholeAnswer;
-pub use crash_check::{EndCheck, CHECK_TIMEOUT};
+pub use crash_check::{CrashCheck, CHECK_TIMEOUT};
 pub use dial::{dial, DialError};
 pub use pool::{Exchange, Pool, PoolRules, Reuse, SendError};
 
--- a/crates/connect/src/pool.rs
+++ b/crates/connect/src/pool.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use hollowsail_clock::Moment;
+use hollowsail_clock::BootInstant;
 use http::{HeaderMap, Request, Response};
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -28,11 +28,11 @@
 #[derive(Debug, Clone, Copy)]
 pub struct PoolRules {
     /// Connect timeout.
-    pub dial_within: Duration,
+    pub dial_timeout: Duration,
     /// Maximum number of idle connections; more are closed.
     pub max_idle: usize,
     /// Idle time after which a connection isn't reused, unless the peer announces a shorter one.
-    pub idle_for: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// Which connections a request may use.
@@ -71,8 +71,8 @@
 
 struct Idle {
     sender: SendRequest<Full<Bytes>>,
-    since: Moment,
-    until: Moment,
+    since: BootInstant,
+    until: BootInstant,
 }
 
 /// The connections to one peer.
@@ -136,7 +136,7 @@
             };
             match sender.try_send_request(req).await {
                 Ok(response) => {
-                    let keep_for = reuse_time(response.headers(), self.rules.idle_for);
+                    let keep_for = reuse_time(response.headers(), self.rules.idle_timeout);
                     return Ok(Exchange {
                         response,
                         returning: Returning {
@@ -163,7 +163,7 @@
     }
 
     fn take_idle(&self, reuse: Reuse) -> Option<SendRequest<Full<Bytes>>> {
-        let now = Moment::now();
+        let now = BootInstant::now();
         let mut idle = self.idle.borrow_mut();
         idle.retain(|conn| conn.until > now && conn.sender.is_ready());
         let fits = |conn: &Idle| match reuse {
@@ -175,7 +175,7 @@
     }
 
     async fn open(&self) -> Result<SendRequest<Full<Bytes>>, SendError> {
-        let stream = dial(self.addr, self.rules.dial_within)
+        let stream = dial(self.addr, self.rules.dial_timeout)
             .await
             .map_err(|source| SendError::Unreachable { source })?;
         self.dialled.set(self.dialled.get() + 1);
@@ -193,7 +193,7 @@
         if idle.len() >= self.rules.max_idle {
             return;
         }
-        let since = Moment::now();
+        let since = BootInstant::now();
         idle.push(Idle {
             sender,
             since,
--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -23,7 +23,7 @@
     let organisation = deployment.organisation(org);
     let (name, weight) = (&organisation.name, organisation.weight);
     let holding = worker.entry.holdings.of(name, weight);
-    let over_share = worker.entry.switches.fair_shares && holding.is_over();
+    let over_share = worker.entry.switches.fair_shares && holding.is_over_share();
     if worker.entry.switches.early_refusal {
         let view = worker.entry.view();
         let priority = deployment.pipeline(pipeline).priority;
--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -86,7 +86,7 @@
     }
 
     /// Answer to an admitted request, from the reports of its stages.
-    pub fn ended(
+    pub fn from_stages(
         request: &str,
         stages: Vec<StageReport>,
         safe_to_repeat: bool,
--- a/crates/entry/src/apply.rs
+++ b/crates/entry/src/apply.rs
@@ -13,7 +13,7 @@
 use hollowsail_clients::{Expect, StoreClient, StoreError, StoreReply};
 use hollowsail_config::chunk::{FileEntry, Head};
 use hollowsail_config::{check, Fault, SourceFile};
-use hollowsail_fleet::{Accept, AcceptStep, Accepted, Apply, HeadAnswer};
+use hollowsail_fleet::{Accept, AcceptStep, Apply, ApplyOutcome, HeadReply};
 use serde::{Deserialize, Serialize};
 
 use crate::configuration::{changed_files, chunk_key, split, Chunks, Configuration, HEAD_KEY};
@@ -137,8 +137,8 @@
     let mut accept = Accept::new(new_apply(request, &files), 0);
     let head = current.as_ref().map(|current| (0, current.head.clone()));
     let outcome = accept
-        .answer(HeadAnswer::Read(head))
-        .or_else(|| accept.answer(HeadAnswer::Written));
+        .answer(HeadReply::Read(head))
+        .or_else(|| accept.answer(HeadReply::Written));
     if let Some(current) = current {
         chunks.extend(current.chunks.clone());
     }
@@ -163,7 +163,7 @@
                 write_head(store, over, &head, &chunks, &in_force).await
             }
         };
-        let answered = !matches!(answer, HeadAnswer::NotDone | HeadAnswer::Lost);
+        let answered = !matches!(answer, HeadReply::NotDone | HeadReply::Lost);
         if let Some(outcome) = accept.answer(answer) {
             break outcome;
         }
@@ -180,12 +180,12 @@
 
 /// Maps the outcome to the accepted revision and the newest head, or to the response.
 fn to_result(
-    outcome: Option<Accepted>,
+    outcome: Option<ApplyOutcome>,
     request: &ApplyRequest,
     files: &[FileEntry],
 ) -> Result<(u64, Head), ApplyResult> {
     match outcome {
-        Some(Accepted::Yes { revision, newest }) => {
+        Some(ApplyOutcome::Accepted { revision, newest }) => {
             let reused = newest.apply_id == request.apply_id && newest.files != files;
             if reused {
                 return Err(ApplyResult::Conflict {
@@ -196,11 +196,11 @@
             }
             Ok((revision, *newest))
         }
-        Some(Accepted::Conflict(head)) => Err(conflict(head.as_deref(), files, request.base)),
-        Some(Accepted::Unavailable) => Err(ApplyResult::Unavailable {
+        Some(ApplyOutcome::Conflict(head)) => Err(conflict(head.as_deref(), files, request.base)),
+        Some(ApplyOutcome::Unavailable) => Err(ApplyResult::Unavailable {
             message: "the store did not answer; nothing was changed; retry later".into(),
         }),
-        Some(Accepted::Unknown) | None => Err(ApplyResult::Unknown {
+        Some(ApplyOutcome::Unknown) | None => Err(ApplyResult::Unknown {
             message: "the store did not confirm the change; \
                       resend the same apply with the same id and base"
                 .into(),
@@ -220,14 +220,14 @@
     }
 }
 
-async fn read_head(store: &StoreClient) -> HeadAnswer {
+async fn read_head(store: &StoreClient) -> HeadReply {
     match store.get(HEAD_KEY).await {
-        Ok(None) => HeadAnswer::Read(None),
+        Ok(None) => HeadReply::Read(None),
         Ok(Some((version, bytes))) => match rmp_serde::from_slice(&bytes) {
-            Ok(head) => HeadAnswer::Read(Some((version, head))),
-            Err(_) => HeadAnswer::NotDone,
+            Ok(head) => HeadReply::Read(Some((version, head))),
+            Err(_) => HeadReply::NotDone,
         },
-        Err(_) => HeadAnswer::NotDone,
+        Err(_) => HeadReply::NotDone,
     }
 }
 
@@ -238,19 +238,19 @@
     head: &Head,
     chunks: &Chunks,
     in_force: &Chunks,
-) -> HeadAnswer {
+) -> HeadReply {
     if write_chunks(store, chunks, in_force).await.is_err() {
-        return HeadAnswer::NotDone;
+        return HeadReply::NotDone;
     }
     let Ok(bytes) = rmp_serde::to_vec(head) else {
-        return HeadAnswer::NotDone;
+        return HeadReply::NotDone;
     };
     let expect = over.map_or(Expect::Absent, Expect::Version);
     match store.put(HEAD_KEY, bytes, expect, None).await {
-        Ok(StoreReply::Written { .. }) => HeadAnswer::Written,
-        Ok(_) => HeadAnswer::Moved,
-        Err(StoreError::Unclear { .. }) => HeadAnswer::Lost,
-        Err(_) => HeadAnswer::NotDone,
+        Ok(StoreReply::Written { .. }) => HeadReply::Written,
+        Ok(_) => HeadReply::VersionMismatch,
+        Err(StoreError::OutcomeUnknown { .. }) => HeadReply::Lost,
+        Err(_) => HeadReply::NotDone,
     }
 }
 
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -6,9 +6,9 @@
 
 use std::time::{Duration, Instant};
 
-use hollowsail_clients::target::{CallError, Sent, TargetNotice};
+use hollowsail_clients::target::{CallError, SendProgress, TargetReports};
 use hollowsail_routing::{
-    attempt_status, may_try_again, Millis, Observation, Progress, RetryBudget, StageStatus,
+    attempt_status, may_retry, Millis, Observation, Progress, RetryBudget, StageStatus,
 };
 use serde_json::Value;
 
@@ -18,7 +18,7 @@
 use crate::events;
 use crate::kinds::ErrorKind;
 use crate::metrics;
-use crate::routes::{self, Found, Route};
+use crate::routes::{self, Route, RouteOutcome};
 use crate::task::{Failure, StageTask};
 
 /// Most attempts at one stage.
@@ -50,12 +50,12 @@
         let left = stage_time.saturating_sub(started.elapsed());
         let attempt = run.attempts.len() + 1;
         let route = match routes::find(task, attempt, &tried, partial.target(), left).await {
-            Found::Route(route) => route,
-            Found::Nobody => {
+            RouteOutcome::Route(route) => route,
+            RouteOutcome::NoTarget => {
                 let no_target = routes::no_target(task, attempt);
                 return (run, Err(last_failure.unwrap_or(no_target)));
             }
-            Found::NoTime => {
+            RouteOutcome::NoTime => {
                 let no_slot = routes::no_slot_in_time(task);
                 return (run, Err(last_failure.unwrap_or(no_slot)));
             }
@@ -81,7 +81,7 @@
             Err(err) => err,
         };
         log_failure(task, &call.dispatch, &route, progress, &err);
-        if err.sent == Sent::Something
+        if err.sent == SendProgress::MaybeSent
             && !done.timed_out
             && has_crashed(task, &route, sent_at).await
         {
@@ -91,7 +91,7 @@
             tried.push(route.key);
         }
         let failure = failure_of(task, &err, progress);
-        if run.crashes >= MAX_CRASHES || !may_retry(task, progress, run.attempts.len()) {
+        if run.crashes >= MAX_CRASHES || !may_retry_stage(task, progress, run.attempts.len()) {
             return (run, Err(failure));
         }
         last_failure = Some(failure);
@@ -115,8 +115,8 @@
 
 /// True when the stage may be retried after an attempt with this progress; takes a
 /// token of the retry budget.
-fn may_retry(task: &StageTask<'_>, progress: Progress, attempts: usize) -> bool {
-    may_try_again(progress, task.stage.repeatable)
+fn may_retry_stage(task: &StageTask<'_>, progress: Progress, attempts: usize) -> bool {
+    may_retry(progress, task.stage.repeatable)
         && attempts < MAX_ATTEMPTS
         && task.job.remaining() > Duration::ZERO
         && take_retry_token(task)
@@ -157,15 +157,15 @@
     }
 }
 
-fn classify(task: &StageTask<'_>, result: &Result<(Value, TargetNotice), CallError>) -> Progress {
+fn classify(task: &StageTask<'_>, result: &Result<(Value, TargetReports), CallError>) -> Progress {
     let Err(err) = result else {
         return Progress::Answered;
     };
     match err.sent {
-        Sent::Nothing => Progress::NothingSent,
-        Sent::Something => Progress::Broken,
-        Sent::Refusal(status) if refusal_is_final(task, status) => Progress::FinalRefusal,
-        Sent::Refusal(_) => Progress::OtherRefusal,
+        SendProgress::NotSent => Progress::NothingSent,
+        SendProgress::MaybeSent => Progress::Broken,
+        SendProgress::Refusal(status) if refusal_is_final(task, status) => Progress::FinalRefusal,
+        SendProgress::Refusal(_) => Progress::OtherRefusal,
     }
 }
 
@@ -185,8 +185,8 @@
     let (observation, notice) = match &done.result {
         Ok((_, notice)) => (Observation::Answered(ms), *notice),
         Err(err) => {
-            let notice = TargetNotice {
-                leaving: err.leaving,
+            let notice = TargetReports {
+                draining: err.draining,
                 load: None,
             };
             let observation = match done.timed_out {
@@ -200,7 +200,7 @@
         revision: route.revision,
         target: route.key,
         pipeline: task.job.pipeline,
-        stage: task.at,
+        stage: task.stage_index,
         observation,
         notice,
     });
--- a/crates/entry/src/attempt_report.rs
+++ b/crates/entry/src/attempt_report.rs
@@ -1,7 +1,7 @@
 //! Reports of traffic threads to the control thread.
 
 use actix::Message;
-use hollowsail_clients::target::TargetNotice;
+use hollowsail_clients::target::TargetReports;
 use hollowsail_config::{PipelineKey, TargetKey};
 use hollowsail_routing::Observation;
 
@@ -15,5 +15,5 @@
     pub pipeline: PipelineKey,
     pub stage: usize,
     pub observation: Observation,
-    pub notice: TargetNotice,
+    pub notice: TargetReports,
 }
--- a/crates/entry/src/callers.rs
+++ b/crates/entry/src/callers.rs
@@ -5,7 +5,7 @@
 //! all; only then is the body read and the request run.
 
 use actix_web::{web, HttpRequest, HttpResponse};
-use hollowsail_fleet::Standing;
+use hollowsail_fleet::Connectivity;
 
 use crate::answer::AnswerBody;
 use crate::body::{read_job, SharedBody};
@@ -45,8 +45,8 @@
 async fn health(worker: web::Data<Worker>) -> HttpResponse {
     let view = worker.entry.view();
     // Before it has joined, an entry can't relay requests.
-    let ready = worker.entry.knows_peers();
-    let accepts = view.standing == Standing::InTouch && !view.is_stopping() && ready;
+    let ready = worker.entry.has_joined_fleet();
+    let accepts = view.connectivity == Connectivity::InTouch && !view.is_stopping() && ready;
     if accepts {
         HttpResponse::Ok().body("ok\n")
     } else {
--- a/crates/entry/src/context.rs
+++ b/crates/entry/src/context.rs
@@ -80,7 +80,7 @@
     }
 
     /// True when this entry has joined the fleet, or its settings name no seeds.
-    pub fn knows_peers(&self) -> bool {
+    pub fn has_joined_fleet(&self) -> bool {
         self.view.load().joined || self.settings.seeds.is_empty()
     }
 
--- a/crates/entry/src/control/config_sync.rs
+++ b/crates/entry/src/control/config_sync.rs
@@ -95,7 +95,7 @@
     }
 
     fn should_watch(&self) -> bool {
-        self.configuration.is_none() || self.fleet.asks_for_all("store", WATCHERS_PER_HALL)
+        self.configuration.is_none() || self.fleet.is_delegate("store", WATCHERS_PER_HALL)
     }
 
     fn watch_if_due(&mut self, cx: &mut Context<Self>) {
--- a/crates/entry/src/control/health.rs
+++ b/crates/entry/src/control/health.rs
@@ -268,7 +268,7 @@
         let now = self.now();
         self.health.record(now, report);
         let current = self.configuration.as_ref().map(|c| c.revision());
-        if report.notice.leaving && current == Some(report.revision) {
+        if report.notice.draining && current == Some(report.revision) {
             let name = self
                 .configuration
                 .as_ref()
--- a/crates/entry/src/control/host_list.rs
+++ b/crates/entry/src/control/host_list.rs
@@ -62,7 +62,7 @@
         outdated
             || unsettled
             || self.fleet.list_differs()
-            || self.fleet.asks_for_all("host list", READERS_PER_HALL)
+            || self.fleet.is_delegate("host list", READERS_PER_HALL)
     }
 
     fn read_hosts(&mut self, cx: &mut Context<Self>) {
@@ -78,7 +78,7 @@
                 control.hosts.last_read_at = Some(control.now());
                 match read {
                     Some(list) => control.apply_list(list),
-                    None => control.fleet.hosts.read_again(),
+                    None => control.fleet.hosts.reread_unchanged(),
                 }
                 control.publish();
             }
--- a/crates/entry/src/control/messages.rs
+++ b/crates/entry/src/control/messages.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use actix::{Context, Handler, Message, MessageResult, ResponseFuture};
-use hollowsail_fleet::{Exchange, Incarnation, Member, Standing, Stopping};
+use hollowsail_fleet::{Connectivity, Exchange, Incarnation, Member, Stopping};
 use serde::{Deserialize, Serialize};
 
 use crate::attempt_report::AttemptReport;
@@ -179,14 +179,14 @@
             (once.open_record_count(), once.record_count())
         };
         let view = self.entry.view();
-        let standing = match view.standing {
-            Standing::Starting => "starting",
-            Standing::InTouch => "in touch",
-            Standing::Isolated => "isolated",
+        let standing = match view.connectivity {
+            Connectivity::Starting => "starting",
+            Connectivity::InTouch => "in touch",
+            Connectivity::Isolated => "isolated",
         };
         let own = self.fleet.own();
         let others = self.fleet.others().into_iter().map(|member| {
-            let last_received = self.fleet.last_heard(member.incarnation);
+            let last_received = self.fleet.last_received(member.incarnation);
             MemberStatus::new(member, last_received.map(|at| now - at))
         });
         let members = std::iter::once(MemberStatus::new(own, Some(0)))
--- a/crates/entry/src/control/mod.rs
+++ b/crates/entry/src/control/mod.rs
@@ -19,7 +19,7 @@
 use actix::{Actor, AsyncContext, Context};
 use awc::Client;
 use hollowsail_clients::{http, HostListClient, StoreClient};
-use hollowsail_fleet::{Fleet, Member, Standing, StandingRule};
+use hollowsail_fleet::{Connectivity, ConnectivityRule, Fleet, Member};
 use rand::rngs::SmallRng;
 
 use crate::configuration::Configuration;
@@ -51,8 +51,8 @@
     pub(crate) health: health::HealthState,
     pub(crate) hosts: host_list::HostListState,
     pub(crate) claims: claim_expiry::ExpiredClaims,
-    connectivity_rule: StandingRule,
-    connectivity: Standing,
+    connectivity_rule: ConnectivityRule,
+    connectivity: Connectivity,
     logged_members: Vec<Member>,
 }
 
@@ -60,9 +60,9 @@
     /// Must be called on the control thread: the `awc` clients are thread-local.
     pub fn new(entry: Arc<Entry>, fleet: Fleet, tick: Duration, rng: SmallRng) -> Self {
         let settings = &entry.settings;
-        let connectivity_rule = StandingRule {
+        let connectivity_rule = ConnectivityRule {
             isolation_ms: settings.limits.isolation_ms,
-            alone_by_settings: settings.store.is_none() && settings.seeds.is_empty(),
+            is_standalone: settings.store.is_none() && settings.seeds.is_empty(),
         };
         Control {
             fleet,
@@ -76,7 +76,7 @@
             claims: claim_expiry::ExpiredClaims::default(),
             hosts: host_list::HostListState::new(settings.host_list.map(HostListClient::new)),
             connectivity_rule,
-            connectivity: Standing::Starting,
+            connectivity: Connectivity::Starting,
             logged_members: Vec::new(),
             entry,
         }
@@ -97,13 +97,13 @@
             own: self.fleet.own().clone(),
             members: self.fleet.others().into_iter().cloned().collect(),
             joined: self.fleet.has_joined(),
-            standing: self.connectivity,
+            connectivity: self.connectivity,
         };
         self.entry.publish(view);
     }
 
     fn update_connectivity(&mut self) {
-        let connectivity = self.connectivity_rule.judge(
+        let connectivity = self.connectivity_rule.evaluate(
             self.now(),
             self.configuration.is_some(),
             self.config_sync.last_store_answer,
--- a/crates/entry/src/crashes.rs
+++ b/crates/entry/src/crashes.rs
@@ -8,9 +8,9 @@
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard};
 
-use hollowsail_connect::EndCheck;
+use hollowsail_connect::CrashCheck;
 use hollowsail_routing::crash_ledger::CRASHES_TO_REFUSE;
-use hollowsail_routing::{CrashLedger, CrashedRun, Millis, RequestDigest, Standing};
+use hollowsail_routing::{CrashLedger, CrashVerdict, CrashedRun, Millis, RequestDigest};
 
 use crate::job::Job;
 use crate::kinds::ErrorKind;
@@ -42,8 +42,8 @@
         let Some(request) = self.digest_if_needed(job) else {
             return Ok(());
         };
-        match self.ledger().standing(now, request) {
-            Standing::Refused { until } => {
+        match self.ledger().verdict(now, request) {
+            CrashVerdict::Refused { until } => {
                 let retry_ms = until - now;
                 let message = format!(
                     "{CRASHES_TO_REFUSE} targets crashed while they ran this request; \
@@ -51,7 +51,7 @@
                 );
                 Err((ErrorKind::EndsTargets, message))
             }
-            Standing::Unsuspected | Standing::Suspect => Ok(()),
+            CrashVerdict::Unsuspected | CrashVerdict::Suspect => Ok(()),
         }
     }
 
@@ -63,20 +63,20 @@
             ended: now,
             was_suspect: false,
         };
-        self.ledger().crashed(now, digest(job), run)
+        self.ledger().record_crash(now, digest(job), run)
     }
 
     /// Records a complete answer: the request doesn't crash targets.
     pub fn record_success(&self, job: &Job) {
         if let Some(request) = self.digest_if_needed(job) {
-            self.ledger().served(request);
+            self.ledger().record_success(request);
         }
     }
 }
 
 /// True when no process listens at the target's address any more.
 pub async fn has_crashed(target: SocketAddr) -> bool {
-    EndCheck::default().has_ended(target).await
+    CrashCheck::default().has_crashed(target).await
 }
 
 /// Digest of organisation, pipeline and input, independent of the request id.
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use hollowsail_clients::target::{self, Call, CallError, Sent, StreamStep, TargetNotice};
+use hollowsail_clients::target::{self, Call, CallError, SendProgress, StreamStep, TargetReports};
 use hollowsail_config::{ServiceKind, TargetKey};
 use serde_json::{json, Value};
 use tokio::time::timeout;
@@ -29,7 +29,7 @@
 
 /// Result of a dispatch.
 pub struct Dispatched {
-    pub result: Result<(Value, TargetNotice), CallError>,
+    pub result: Result<(Value, TargetReports), CallError>,
     pub waited: Duration,
     /// The time limit passed before the answer was complete.
     pub timed_out: bool,
@@ -100,8 +100,8 @@
 
 fn timeout_error(limit: Duration) -> CallError {
     CallError {
-        sent: Sent::Something,
-        leaving: false,
+        sent: SendProgress::MaybeSent,
+        draining: false,
         reason: format!("no complete answer within {} ms", limit.as_millis()),
     }
 }
@@ -134,7 +134,7 @@
     limit: Duration,
     partial: &mut Partial,
     sink: Option<&Sink>,
-) -> Result<(Value, TargetNotice), CallError> {
+) -> Result<(Value, TargetReports), CallError> {
     let (mut stream, notice) = target::open_stream(client, route.address, org, call, limit).await?;
     loop {
         match stream.next().await? {
@@ -144,7 +144,7 @@
                 partial.tokens += 1;
                 send(sink, Progress::Token { offset, text }).await;
             }
-            StreamStep::Whole => {
+            StreamStep::End => {
                 let output = json!({ "text": partial.text, "tokens": partial.tokens });
                 return Ok((output, notice));
             }
--- a/crates/entry/src/once_ledger.rs
+++ b/crates/entry/src/once_ledger.rs
@@ -9,9 +9,9 @@
 
 use hollowsail_clients::{Expect, StoreClient, StoreError, StoreReply};
 use hollowsail_config::settings::Limits;
-use hollowsail_ledger::claim::{Claim, ClaimStep, ClaimValue, Claimed, Progress, StoreAnswer};
+use hollowsail_ledger::claim::{Claim, ClaimOutcome, ClaimStep, ClaimValue, Progress, StoreAnswer};
 use hollowsail_ledger::{
-    Bounds, HandOver, Identity, Incarnation, Ledger, Millis, Presented, RecordId, Slot, Ticket,
+    Bounds, HandOver, Identity, Incarnation, Ledger, Millis, PresentOutcome, RecordId, Slot, Ticket,
 };
 use tokio::sync::oneshot;
 
@@ -38,7 +38,7 @@
     /// An earlier send is running; wait for its answer.
     Wait(oneshot::Receiver<RetainedAnswer>),
     /// Answer with the ledger's result.
-    Answered(Presented),
+    Answered(PresentOutcome),
 }
 
 impl OnceLedger {
@@ -62,7 +62,7 @@
     }
 
     pub fn is_responsible_for(&self, issuer: Incarnation) -> bool {
-        self.ledger.answers_for(issuer)
+        self.ledger.is_responsible_for(issuer)
     }
 
     pub fn present_ticket(
@@ -87,10 +87,10 @@
         self.admit(id, presented)
     }
 
-    fn admit(&mut self, id: RecordId, presented: Presented) -> Admission {
+    fn admit(&mut self, id: RecordId, presented: PresentOutcome) -> Admission {
         match presented {
-            Presented::Run => Admission::Run,
-            Presented::Wait => {
+            PresentOutcome::Run => Admission::Run,
+            PresentOutcome::Wait => {
                 let (tx, rx) = oneshot::channel();
                 self.waiters.entry(id).or_default().push(tx);
                 Admission::Wait(rx)
@@ -123,7 +123,7 @@
 
     /// Evicts expired records; returns the hashes of the expired claims.
     pub fn evict_expired(&mut self, now: Millis) -> Vec<[u8; 32]> {
-        self.ledger.housekeep(now)
+        self.ledger.evict_expired(now)
     }
 
     pub fn open_record_count(&self) -> usize {
@@ -159,39 +159,39 @@
 }
 
 /// The refusal for a presentation that neither runs, waits nor has a retained answer.
-pub fn refusal(request: &str, presented: &Presented) -> Refusal {
+pub fn refusal(request: &str, presented: &PresentOutcome) -> Refusal {
     use ErrorKind::*;
     match presented {
-        Presented::OtherRequest => AnswerBody::refusal(
+        PresentOutcome::RequestMismatch => AnswerBody::refusal(
             request,
             TicketReused,
             "this ticket or idempotency key was used for another request",
         ),
-        Presented::Expired => AnswerBody::unknown(
+        PresentOutcome::Expired => AnswerBody::unknown(
             request,
             TicketExpired,
             "the ticket or idempotency key has expired, and an earlier send may have run",
         ),
-        Presented::AnswerDropped => AnswerBody::unknown(
+        PresentOutcome::AnswerDropped => AnswerBody::unknown(
             request,
             AnswerDropped,
             "the request ended, but its answer is no longer retained",
         ),
-        Presented::Full => {
+        PresentOutcome::Full => {
             AnswerBody::refusal(request, LedgerFull, "the ledger of this entry is full")
         }
-        Presented::Stopped => AnswerBody::refusal(request, Stopping, "this entry is stopping"),
-        Presented::Refused => AnswerBody::refusal(
+        PresentOutcome::Stopped => AnswerBody::refusal(request, Stopping, "this entry is stopping"),
+        PresentOutcome::Refused => AnswerBody::refusal(
             request,
             TicketRefused,
             "an earlier send of this request was refused, and the refusal is final",
         ),
-        Presented::HandedOver => AnswerBody::unknown(
+        PresentOutcome::HandedOver => AnswerBody::unknown(
             request,
             Stopping,
             "this entry has handed its ledger over to another entry",
         ),
-        Presented::Unsure => AnswerBody::unknown(
+        PresentOutcome::RefusedUnrecorded => AnswerBody::unknown(
             request,
             LedgerFull,
             "the ledger of this entry is full, and another send of the request may still run",
@@ -216,7 +216,7 @@
     id_hash: &[u8; 32],
     owner: Incarnation,
     nonce: u64,
-) -> Option<Claimed> {
+) -> Option<ClaimOutcome> {
     let mut claim = Claim::new(ClaimValue { owner, nonce });
     let key = claim_key(id_hash);
     for _ in 0..MAX_CLAIM_STEPS {
@@ -258,7 +258,7 @@
 
 fn store_failure(err: &StoreError) -> StoreAnswer {
     match err {
-        StoreError::Unclear { .. } => StoreAnswer::Lost,
+        StoreError::OutcomeUnknown { .. } => StoreAnswer::Lost,
         StoreError::NotSent { .. } | StoreError::Limited => StoreAnswer::NotDone,
     }
 }
--- a/crates/entry/src/pipeline.rs
+++ b/crates/entry/src/pipeline.rs
@@ -127,7 +127,7 @@
     let task = StageTask {
         worker,
         job,
-        at: index,
+        stage_index: index,
         stage,
         plan,
         over_share: admitted.over_share,
@@ -153,7 +153,7 @@
         });
     }
     let safe = result.is_err() && safe_to_repeat(stages, &reports);
-    let mut answer = AnswerBody::ended(&job.request, reports, safe, result);
+    let mut answer = AnswerBody::from_stages(&job.request, reports, safe, result);
     answer.revision = job.configuration.revision();
     record_answer(worker, job, &answer);
     answer
--- a/crates/entry/src/routes.rs
+++ b/crates/entry/src/routes.rs
@@ -43,10 +43,10 @@
 }
 
 /// Result of [`find`].
-pub enum Found {
+pub enum RouteOutcome {
     Route(Route),
     /// No target may serve this stage.
-    Nobody,
+    NoTarget,
     /// No slot became free in time.
     NoTime,
 }
@@ -59,28 +59,28 @@
     tried: &[TargetKey],
     resume: Option<TargetKey>,
     left: Duration,
-) -> Found {
+) -> RouteOutcome {
     let rank = rank_of(task, left);
     let mut woken = false;
     loop {
         let view = task.worker.entry.view();
         let Some(search) = Search::new(&view, task, tried) else {
-            return Found::Nobody;
+            return RouteOutcome::NoTarget;
         };
         let may_choose = woken || !search.gate.has_ahead_of(&rank);
         if let Some(choice) = may_choose.then(|| search.choose(task, resume)).flatten() {
             log_route(task, attempt, &search, choice);
             search.gate.wake_one();
-            return Found::Route(search.into_route(choice));
+            return RouteOutcome::Route(search.into_route(choice));
         }
         let gate = search.gate.clone();
         let wait = rank.latest_start.saturating_sub(task.worker.entry.now());
         if wait == 0 {
-            return Found::NoTime;
+            return RouteOutcome::NoTime;
         }
         woken = gate.wait(rank, Duration::from_millis(wait)).await;
         if !woken {
-            return Found::NoTime;
+            return RouteOutcome::NoTime;
         }
     }
 }
@@ -91,7 +91,7 @@
     let entry = &task.worker.entry;
     let view = entry.view();
     let typical_ms = view
-        .expectations(task.job.pipeline, task.at)
+        .expectations(task.job.pipeline, task.stage_index)
         .first()
         .map_or(0, |expected| expected.typical_ms);
     let latest_start_ms = (left.as_millis() as u64).saturating_sub(typical_ms);
@@ -132,7 +132,7 @@
                 Candidate {
                     target: key,
                     load: view.estimated_load(key),
-                    reported: state.reported_load,
+                    reported_load: state.reported_load,
                     slowness: state.slowness,
                     ejected: state.ejected && switches.ejection,
                     affinity: prefix
--- a/crates/entry/src/serve_once.rs
+++ b/crates/entry/src/serve_once.rs
@@ -9,8 +9,8 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use actix_web::{HttpRequest, HttpResponse};
-use hollowsail_ledger::claim::{id_is_young, Claimed};
-use hollowsail_ledger::{Identity, Incarnation, Presented, RecordId, Slot, Ticket};
+use hollowsail_ledger::claim::{is_id_claimable, ClaimOutcome};
+use hollowsail_ledger::{Identity, Incarnation, PresentOutcome, RecordId, Slot, Ticket};
 use rand::Rng;
 use sha2::{Digest, Sha256};
 use tokio::sync::oneshot;
@@ -161,7 +161,7 @@
     match admission {
         Admission::Run => run_detached(worker, req, job, id).await,
         Admission::Wait(rx) => wait_for_run(&job, rx).await,
-        Admission::Answered(Presented::Kept(answer)) => respond_retained(&answer),
+        Admission::Answered(PresentOutcome::Retained(answer)) => respond_retained(&answer),
         Admission::Answered(other) => once_ledger::refusal(&job.request, &other).into_response(),
     }
 }
@@ -228,7 +228,7 @@
             );
             AnswerBody::refusal(&validated.request, ErrorKind::BadRequest, message)
         })?;
-    if !id_is_young(
+    if !is_id_claimable(
         sent_ms,
         wall_clock_ms(),
         worker.entry.settings.limits.claim_ms,
@@ -270,7 +270,7 @@
         Err(refusal) => return refusal.into_response(),
     };
     let claimed = if origin.is_peer() && key.is_owner {
-        Claimed::Theirs(worker.entry.incarnation)
+        ClaimOutcome::Theirs(worker.entry.incarnation)
     } else {
         match claim_key(worker, &validated, &key).await {
             Ok(claimed) => claimed,
@@ -278,12 +278,12 @@
         }
     };
     match claimed {
-        Claimed::Theirs(owner) if owner != worker.entry.incarnation => {
+        ClaimOutcome::Theirs(owner) if owner != worker.entry.incarnation => {
             let body = SharedBody::from_bytes(bytes);
             relay_to_owner(worker, req, &validated, body, origin, owner, true).await
         }
         claimed => {
-            let fresh = claimed == Claimed::Ours;
+            let fresh = claimed == ClaimOutcome::Ours;
             let (id, admission) = present_key(worker, &job, &identity, &key.hash, fresh).await;
             respond(worker, req, job, id, admission).await
         }
@@ -319,7 +319,7 @@
             )
         };
         tries += 1;
-        let missing = matches!(admission, Admission::Answered(Presented::Expired));
+        let missing = matches!(admission, Admission::Answered(PresentOutcome::Expired));
         if !missing || tries > SETTLE_RETRIES || job.remaining() <= SETTLE_PAUSE {
             return (id, admission);
         }
@@ -332,7 +332,7 @@
     worker: &Worker,
     validated: &ValidatedRequest,
     key: &IdempotencyKey,
-) -> Result<Claimed, Refusal> {
+) -> Result<ClaimOutcome, Refusal> {
     let unavailable = |message: &str| {
         AnswerBody::unknown(&validated.request, ErrorKind::ClaimUnavailable, message)
     };
@@ -344,7 +344,7 @@
     {
         let mut once = worker.entry.once.lock().expect("no panic while held");
         if once.find_claim(&key.hash).is_some() {
-            return Ok(Claimed::Theirs(worker.entry.incarnation));
+            return Ok(ClaimOutcome::Theirs(worker.entry.incarnation));
         }
         if !once.try_take_claim(worker.entry.now()) {
             return Err(unavailable(
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -8,7 +8,7 @@
 use actix_web::dev::{Server, ServerHandle};
 use actix_web::{web, App, HttpServer};
 use hollowsail_config::settings::Settings;
-use hollowsail_fleet::{Fleet, FleetTiming, Health, Member, Standing, Stopping};
+use hollowsail_fleet::{Connectivity, Fleet, FleetTiming, Health, Member, Stopping};
 use hollowsail_routing::Switches;
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
@@ -168,7 +168,7 @@
         own,
         members: Vec::new(),
         joined: false,
-        standing: Standing::Starting,
+        connectivity: Connectivity::Starting,
     }
 }
 
--- a/crates/entry/src/task.rs
+++ b/crates/entry/src/task.rs
@@ -12,7 +12,7 @@
     pub worker: &'a Worker,
     pub job: &'a Job,
     /// Index of the stage in the pipeline.
-    pub at: usize,
+    pub stage_index: usize,
     pub stage: &'a Stage,
     pub plan: StagePlan,
     /// The organisation exceeded its share when the request was admitted: it queues behind
--- a/crates/entry/src/validate.rs
+++ b/crates/entry/src/validate.rs
@@ -9,7 +9,7 @@
 
 use actix_web::http::header::HeaderMap;
 use hollowsail_config::{OrganisationKey, PipelineKey};
-use hollowsail_fleet::{Member, Standing};
+use hollowsail_fleet::{Connectivity, Member};
 
 use crate::answer::{AnswerBody, Refusal};
 use crate::auth;
@@ -68,7 +68,7 @@
         let message = "this entry has no configuration yet".to_string();
         return Err(refuse(ErrorKind::NoConfiguration, message));
     };
-    if view.standing == Standing::Isolated {
+    if view.connectivity == Connectivity::Isolated {
         let message =
             "this entry is isolated: it can reach neither the store nor its peers".to_string();
         return Err(refuse(ErrorKind::Isolated, message));
--- a/crates/entry/src/view.rs
+++ b/crates/entry/src/view.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 
 use hollowsail_config::{Deployment, PipelineKey, TargetKey};
-use hollowsail_fleet::{member, Incarnation, Member, Standing, Stopping};
+use hollowsail_fleet::{member, Connectivity, Incarnation, Member, Stopping};
 use hollowsail_routing::{RetryBudget, StageExpectation};
 
 use crate::configuration::Configuration;
@@ -53,7 +53,7 @@
     pub members: Vec<Member>,
     /// True after a peer has sent this entry the whole member list.
     pub joined: bool,
-    pub standing: Standing,
+    pub connectivity: Connectivity,
 }
 
 impl View {
@@ -101,7 +101,7 @@
 
     /// The member responsible for the tickets of `issuer`.
     pub fn responsible_member(&self, issuer: Incarnation) -> Option<&Member> {
-        member::answering(issuer, |incarnation| {
+        member::resolve_issuer(issuer, |incarnation| {
             self.members
                 .iter()
                 .chain([&self.own])
--- a/crates/entry/tests/suite/configuration.rs
+++ b/crates/entry/tests/suite/configuration.rs
@@ -16,11 +16,11 @@
 #[test]
 fn build_drops_chunks_of_other_revisions() {
     let (files, chunks) = split(&[file("one")]);
-    let head = Head::following(None, "first", files);
+    let head = Head::successor_of(None, "first", files);
     let first = Configuration::build(head, chunks).expect("configuration is valid");
     let (files, mut chunks) = split(&[file("two")]);
     chunks.extend(first.chunks.clone());
-    let head = Head::following(Some(&first.head), "second", files);
+    let head = Head::successor_of(Some(&first.head), "second", files);
     let second = Configuration::build(head, chunks).expect("configuration is valid");
     assert_eq!(second.deployment.name, "two");
     assert_eq!(second.chunks.len(), 1);
@@ -29,7 +29,7 @@
 #[test]
 fn build_fails_on_missing_or_faulty_chunk() {
     let (files, chunks) = split(&[file("one")]);
-    let head = Head::following(None, "first", files);
+    let head = Head::successor_of(None, "first", files);
     let err =
         Configuration::build(head.clone(), Default::default()).expect_err("the chunk is missing");
     assert!(err.to_string().contains("is missing"), "{err}");
--- a/crates/fleet/src/accept.rs
+++ b/crates/fleet/src/accept.rs
@@ -20,12 +20,12 @@
 
 /// The store's reply to an [`AcceptStep`].
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum HeadAnswer {
+pub enum HeadReply {
     /// The version and the head, or `None` before the first apply.
     Read(Option<(u64, Head)>),
     Written,
     /// The head's version has changed since it was read; nothing was written.
-    Moved,
+    VersionMismatch,
     /// The operation had no effect.
     NotDone,
     /// No reply; a write may take effect, now or later.
@@ -34,9 +34,9 @@
 
 /// Outcome of an apply.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Accepted {
+pub enum ApplyOutcome {
     /// Accepted as `revision`; `newest` is the latest head seen.
-    Yes { revision: u64, newest: Box<Head> },
+    Accepted { revision: u64, newest: Box<Head> },
     /// Not accepted: another head replaced the base first.
     Conflict(Option<Box<Head>>),
     /// Not accepted: the store did not answer.
@@ -82,15 +82,17 @@
     }
 
     /// Handles the reply to the current step; returns `Some` when the apply has ended.
-    pub fn answer(&mut self, reply: HeadAnswer) -> Option<Accepted> {
+    pub fn answer(&mut self, reply: HeadReply) -> Option<ApplyOutcome> {
         let step = std::mem::replace(&mut self.step, AcceptStep::ReadHead);
         match (step, reply) {
-            (AcceptStep::ReadHead, HeadAnswer::Read(found)) => self.compare_head(found),
-            (AcceptStep::WriteHead { head, .. }, HeadAnswer::Written) => Some(Accepted::Yes {
-                revision: head.revision,
-                newest: Box::new(head),
-            }),
-            (AcceptStep::WriteHead { .. }, HeadAnswer::Lost) => {
+            (AcceptStep::ReadHead, HeadReply::Read(found)) => self.compare_head(found),
+            (AcceptStep::WriteHead { head, .. }, HeadReply::Written) => {
+                Some(ApplyOutcome::Accepted {
+                    revision: head.revision,
+                    newest: Box::new(head),
+                })
+            }
+            (AcceptStep::WriteHead { .. }, HeadReply::Lost) => {
                 self.in_doubt = true;
                 self.retry()
             }
@@ -98,12 +100,12 @@
         }
     }
 
-    fn compare_head(&mut self, found: Option<(u64, Head)>) -> Option<Accepted> {
+    fn compare_head(&mut self, found: Option<(u64, Head)>) -> Option<ApplyOutcome> {
         let head = found.as_ref().map(|(_, head)| head);
         if let Some((revision, newest)) =
             head.and_then(|head| Some((head.revision_of(&self.apply.apply_id)?, head.clone())))
         {
-            return Some(Accepted::Yes {
+            return Some(ApplyOutcome::Accepted {
                 revision,
                 newest: Box::new(newest),
             });
@@ -112,7 +114,7 @@
             return Some(self.conflict(head));
         }
         self.step = AcceptStep::WriteHead {
-            head: Head::following(head, &self.apply.apply_id, self.apply.files.clone()),
+            head: Head::successor_of(head, &self.apply.apply_id, self.apply.files.clone()),
             over: found.map(|(version, _)| version),
         };
         None
@@ -120,22 +122,23 @@
 
     /// The head is no longer the base. If it lists all applies since the base, a write of this
     /// apply that isn't among them can never take effect.
-    fn conflict(&self, head: Option<&Head>) -> Accepted {
-        let lists_all = head.is_some_and(|head| head.remembers_from() <= self.apply.base + 1);
+    fn conflict(&self, head: Option<&Head>) -> ApplyOutcome {
+        let lists_all =
+            head.is_some_and(|head| head.oldest_recorded_revision() <= self.apply.base + 1);
         if self.in_doubt && !lists_all {
-            return Accepted::Unknown;
+            return ApplyOutcome::Unknown;
         }
-        Accepted::Conflict(head.cloned().map(Box::new))
+        ApplyOutcome::Conflict(head.cloned().map(Box::new))
     }
 
-    fn retry(&mut self) -> Option<Accepted> {
+    fn retry(&mut self) -> Option<ApplyOutcome> {
         if self.retries_left > 0 {
             self.retries_left -= 1;
             return None;
         }
         Some(match self.in_doubt {
-            true => Accepted::Unknown,
-            false => Accepted::Unavailable,
+            true => ApplyOutcome::Unknown,
+            false => ApplyOutcome::Unavailable,
         })
     }
 }
--- a/crates/fleet/src/connectivity.rs
+++ b/crates/fleet/src/connectivity.rs
@@ -8,7 +8,7 @@
 
 /// Connectivity of an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum Connectivity {
     /// No configuration yet.
     Starting,
     /// Reaches the store or a peer.
@@ -19,30 +19,30 @@
 
 /// Derives the connectivity from the times of contact.
 #[derive(Debug, Clone, Copy)]
-pub struct StandingRule {
+pub struct ConnectivityRule {
     /// Time without any contact until the entry is isolated.
     pub isolation_ms: Millis,
     /// The settings name neither a store nor seeds.
-    pub alone_by_settings: bool,
+    pub is_standalone: bool,
 }
 
-impl StandingRule {
+impl ConnectivityRule {
     /// The connectivity at `now`, given the last contact with the store and with any peer.
-    pub fn judge(
+    pub fn evaluate(
         &self,
         now: Millis,
         has_configuration: bool,
         last_store: Option<Millis>,
         last_peer: Option<Millis>,
-    ) -> Standing {
+    ) -> Connectivity {
         if !has_configuration {
-            return Standing::Starting;
+            return Connectivity::Starting;
         }
         let last = last_store.max(last_peer).unwrap_or(0);
-        if self.alone_by_settings || now.saturating_sub(last) < self.isolation_ms {
-            Standing::InTouch
+        if self.is_standalone || now.saturating_sub(last) < self.isolation_ms {
+            Connectivity::InTouch
         } else {
-            Standing::Isolated
+            Connectivity::Isolated
         }
     }
 }
--- a/crates/fleet/src/evacuated_halls.rs
+++ b/crates/fleet/src/evacuated_halls.rs
@@ -12,7 +12,7 @@
 
 /// The evacuated halls as of a position of the store.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EmptiedHalls {
+pub struct EvacuatedHalls {
     /// All changes up to this position are applied.
     as_of: Position,
     /// Each hall with the position at which it was evacuated. A position of an earlier epoch
@@ -23,14 +23,14 @@
     taken_back: BTreeMap<String, Position>,
 }
 
-impl EmptiedHalls {
+impl EvacuatedHalls {
     /// Applies a complete list as of a position. True when the set of halls changed.
     pub fn take_list(&mut self, as_of: Position, listed: Vec<(String, Position)>) -> bool {
         if as_of < self.as_of {
             return false;
         }
-        let is_same_epoch = as_of.era == self.as_of.era;
-        let listed = EmptiedHalls {
+        let is_same_epoch = as_of.epoch == self.as_of.epoch;
+        let listed = EvacuatedHalls {
             as_of,
             halls: listed.into_iter().collect(),
             taken_back: match is_same_epoch {
@@ -42,14 +42,14 @@
     }
 
     /// Takes over another entry's state if it is newer. True when the set of halls changed.
-    pub fn adopt(&mut self, other: EmptiedHalls) -> bool {
+    pub fn adopt(&mut self, other: EvacuatedHalls) -> bool {
         other.as_of > self.as_of && self.replace(other)
     }
 
     /// Replaces the state by a newer one, but keeps halls that the store may have lost.
-    fn replace(&mut self, mut newer: EmptiedHalls) -> bool {
+    fn replace(&mut self, mut newer: EvacuatedHalls) -> bool {
         let is_lost = |hall: &String, since: &Position| {
-            since.era < newer.as_of.era && !newer.taken_back.contains_key(hall)
+            since.epoch < newer.as_of.epoch && !newer.taken_back.contains_key(hall)
         };
         let lost: Vec<(String, Position)> = self
             .halls
@@ -66,7 +66,7 @@
     }
 
     /// Applies the evacuation of a hall. True when the set of halls changed.
-    pub fn emptied(&mut self, hall: &str, at: Position) -> bool {
+    pub fn evacuated(&mut self, hall: &str, at: Position) -> bool {
         if at <= self.as_of {
             return false;
         }
@@ -75,37 +75,37 @@
     }
 
     /// Applies the end of a hall's evacuation. True when the set of halls changed.
-    pub fn taken_back(&mut self, hall: &str, at: Position) -> bool {
+    pub fn reinstated(&mut self, hall: &str, at: Position) -> bool {
         let since = self.halls.get(hall).copied();
         let Some(since) = since.filter(|since| at > self.as_of && at > *since) else {
             return false;
         };
-        if since.era < at.era {
+        if since.epoch < at.epoch {
             self.taken_back.insert(hall.to_string(), at);
         }
         self.halls.remove(hall).is_some()
     }
 
     /// Removes the unconfirmed halls and returns their names.
-    pub fn drop_unwritten(&mut self) -> Vec<String> {
-        let epoch = self.as_of.era;
+    pub fn drop_unconfirmed(&mut self) -> Vec<String> {
+        let epoch = self.as_of.epoch;
         let unconfirmed: Vec<String> = self.unconfirmed().map(str::to_string).collect();
-        self.halls.retain(|_, since| since.era >= epoch);
+        self.halls.retain(|_, since| since.epoch >= epoch);
         unconfirmed
     }
 
     /// Halls whose keys haven't been written again since the store was restored without them.
     pub fn unconfirmed(&self) -> impl Iterator<Item = &str> {
-        let epoch = self.as_of.era;
+        let epoch = self.as_of.epoch;
         let unconfirmed = self
             .halls
             .iter()
-            .filter(move |(_, since)| since.era < epoch);
+            .filter(move |(_, since)| since.epoch < epoch);
         unconfirmed.map(|(hall, _)| hall.as_str())
     }
 
     /// Records that all changes up to a position are applied.
-    pub fn told_until(&mut self, at: Position) {
+    pub fn advance_to(&mut self, at: Position) {
         self.as_of = self.as_of.max(at);
     }
 
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -115,7 +115,7 @@
     }
 
     /// When this entry last received a message from the member itself.
-    pub fn last_heard(&self, incarnation: Incarnation) -> Option<Millis> {
+    pub fn last_received(&self, incarnation: Incarnation) -> Option<Millis> {
         self.records.get(&incarnation)?.received_at
     }
 
@@ -155,7 +155,7 @@
 
     /// True when this entry is one of the `count` entries in its hall that query the platform
     /// for `subject` on behalf of all.
-    pub fn asks_for_all(&self, subject: &str, count: usize) -> bool {
+    pub fn is_delegate(&self, subject: &str, count: usize) -> bool {
         let candidates = self
             .records
             .values()
--- a/crates/fleet/src/groups.rs
+++ b/crates/fleet/src/groups.rs
@@ -11,7 +11,7 @@
 }
 
 /// Index of the group of a target or key, out of `groups`.
-pub fn place_of(key: &str, groups: usize) -> usize {
+pub fn group_of(key: &str, groups: usize) -> usize {
     let score = |index: &usize| rendezvous::score(key, *index);
     (0..groups).max_by_key(score).unwrap_or(0)
 }
--- a/crates/fleet/src/host_view.rs
+++ b/crates/fleet/src/host_view.rs
@@ -83,7 +83,7 @@
     }
 
     /// Counts another read that returned the same list.
-    pub fn read_again(&mut self) {
+    pub fn reread_unchanged(&mut self) {
         self.missing.values_mut().for_each(|reads| *reads += 1);
     }
 
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Entries exchange gossip messages ([`Fleet`]) that carry member records and leaving hosts,
 //! detect failed peers and compare configuration revisions. [`Accept`] applies a configuration
-//! through the store; [`TargetBook`] registers the targets, and [`ownership`] assigns owners.
+//! through the store; [`TargetRegistry`] registers the targets, and [`ownership`] assigns owners.
 //! All state machines are free of I/O: time and randomness are arguments.
 
 pub mod accept;
@@ -16,28 +16,28 @@
 pub mod newest;
 pub mod ownership;
 pub mod position;
-pub mod readers;
 pub mod rendezvous;
-pub mod target_book;
+pub mod store_followers;
+pub mod target_registry;
 pub mod throttle;
 pub mod warm_ups;
 pub mod watch_log;
 pub mod watch_pause;
 pub mod wire;
 
-pub use accept::{Accept, AcceptStep, Accepted, Apply, HeadAnswer};
-pub use connectivity::{Standing, StandingRule};
-pub use evacuated_halls::EmptiedHalls;
+pub use accept::{Accept, AcceptStep, Apply, ApplyOutcome, HeadReply};
+pub use connectivity::{Connectivity, ConnectivityRule};
+pub use evacuated_halls::EvacuatedHalls;
 pub use fleet::{Fleet, FleetTiming, Output};
 pub use host_view::{HostView, LeavingHost, ListedHost};
 pub use live_runs::LiveRuns;
 pub use member::{Health, Member, Stopping};
 pub use newest::Newest;
 pub use position::Position;
-pub use target_book::{BookTiming, TargetBook, Told};
-pub use throttle::{Tell, Throttle};
-pub use warm_ups::{ColdRecord, ColdSpells};
-pub use watch_log::{Since, WatchLog};
+pub use target_registry::{RecordMeta, RegistryTiming, TargetRegistry};
+pub use throttle::{SendTime, Throttle};
+pub use warm_ups::{WarmUpRecord, WarmUps};
+pub use watch_log::{ChangesSince, WatchLog};
 pub use watch_pause::watch_pause;
 pub use wire::Exchange;
 
--- a/crates/fleet/src/live_runs.rs
+++ b/crates/fleet/src/live_runs.rs
@@ -27,7 +27,7 @@
 
     /// Sets the runs that the store lists, and drops the successors of runs that aren't
     /// reachable from it.
-    pub fn take_listed(&mut self, listed: Vec<R>) {
+    pub fn set_listed(&mut self, listed: Vec<R>) {
         self.listed = listed;
         let mut reachable: Vec<K> = self.listed.iter().map(self.id_of).collect();
         let mut index = 0;
@@ -40,7 +40,7 @@
     }
 
     /// Records that run `new` was observed at the host whose known run was `old`.
-    pub fn heard(&mut self, old: K, new: R) {
+    pub fn observed(&mut self, old: K, new: R) {
         // The run observed last is alive, so it has no successor.
         self.successors.remove(&(self.id_of)(&new));
         self.successors.insert(old, new);
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -75,7 +75,7 @@
 
 /// The member that answers for the tickets of `issuer`: itself, or the end of its chain of
 /// successors; `None` when it is unknown or left without a successor.
-pub fn answering<'a>(
+pub fn resolve_issuer<'a>(
     issuer: Incarnation,
     find: impl Fn(Incarnation) -> Option<&'a Member>,
 ) -> Option<&'a Member> {
--- a/crates/fleet/src/ownership.rs
+++ b/crates/fleet/src/ownership.rs
@@ -16,7 +16,7 @@
     /// Relative capacity of its host, by a measure common to all entries.
     pub capacity: u32,
     /// The entry reports event-loop lag.
-    pub is_slow: bool,
+    pub is_lagging: bool,
 }
 
 /// Index of the owner of `key`; `None` without candidates.
@@ -50,8 +50,8 @@
 where
     I: Iterator<Item = Candidate<'a>> + Clone,
 {
-    let all_lag = candidates.clone().all(|entry| entry.is_slow);
-    let is_responsive = move |entry: &Candidate<'a>| all_lag || !entry.is_slow;
+    let all_lag = candidates.clone().all(|entry| entry.is_lagging);
+    let is_responsive = move |entry: &Candidate<'a>| all_lag || !entry.is_lagging;
     let responsive = candidates.clone().filter(is_responsive);
     let largest = responsive.map(|entry| entry.capacity).max().unwrap_or(0);
     candidates
--- a/crates/fleet/src/position.rs
+++ b/crates/fleet/src/position.rs
@@ -15,19 +15,20 @@
 pub struct Position {
     /// Epoch: incremented each time the store is restored from an older copy; 0 for a store
     /// that reports none.
-    pub era: u64,
+    #[serde(rename = "era")]
+    pub epoch: u64,
     /// Increases with each change in an epoch; 0 before the first one.
     pub revision: u64,
 }
 
 impl Position {
-    pub fn new(era: u64, revision: u64) -> Self {
-        Position { era, revision }
+    pub fn new(epoch: u64, revision: u64) -> Self {
+        Position { epoch, revision }
     }
 }
 
 impl fmt::Display for Position {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}.{}", self.era, self.revision)
+        write!(f, "{}.{}", self.epoch, self.revision)
     }
 }
--- a/crates/fleet/src/target_book/entry.rs
+++ b/crates/fleet/src/target_registry/entry.rs
@@ -1,6 +1,6 @@
 //! State of one registered target, and how a record changes it.
 
-use super::Told;
+use super::RecordMeta;
 use crate::Position;
 
 /// State of a registered target.
@@ -38,7 +38,7 @@
     pub state: State,
 }
 
-impl Told {
+impl RecordMeta {
     /// State of a target of which only this record is known.
     pub(super) fn state(&self) -> State {
         match self.draining {
@@ -51,7 +51,7 @@
 impl<R> Entry<R> {
     /// State after another record of the same incarnation; `is_copy` when that is the known
     /// record, read from a restored store.
-    pub fn state_after(&self, meta: &Told, is_copy: bool) -> State {
+    pub fn state_after(&self, meta: &RecordMeta, is_copy: bool) -> State {
         let is_same_record = is_copy || meta.at == self.at;
         match self.state {
             State::Draining => State::Draining,
@@ -66,9 +66,13 @@
 
 /// True when a record of a new epoch is the known record, read from a restored store. It keeps
 /// its position in the old epoch, so that later records of that epoch still replace it.
-pub(super) fn is_restored_copy<R: PartialEq>(known: &Entry<R>, meta: &Told, record: &R) -> bool {
-    known.incarnation == meta.start
-        && known.at.era < meta.at.era
+pub(super) fn is_restored_copy<R: PartialEq>(
+    known: &Entry<R>,
+    meta: &RecordMeta,
+    record: &R,
+) -> bool {
+    known.incarnation == meta.incarnation
+        && known.at.epoch < meta.at.epoch
         && known.at.revision == meta.at.revision
         && known.record == *record
 }
--- a/crates/fleet/src/target_book/mod.rs
+++ b/crates/fleet/src/target_registry/mod.rs
@@ -1,7 +1,7 @@
 //! Registry of the targets, fed with the store's records, that tolerates outages of the store.
 //!
 //! A removed record means that its target is gone, except during an outage or shortly after
-//! it: then the target stays as [`State::Unconfirmed`] until [`TargetBook::settle`] removes it.
+//! it: then the target stays as [`State::Unconfirmed`] until [`TargetRegistry::settle`] removes it.
 //! After a restore from an older copy, a record that had been removed before makes its target
 //! [`State::Restored`], not usable until the record is written again or outlives its expiry.
 
@@ -18,22 +18,22 @@
 
 /// Delays after the store's return, in milliseconds.
 #[derive(Debug, Clone, Copy)]
-pub struct BookTiming {
+pub struct RegistryTiming {
     /// Time from the store's return until a missing record means that its target is gone.
     pub return_ms: Millis,
     /// The same for a record that the store lost when it was restored from an older copy.
     pub lost_ms: Millis,
     /// Time after which the record of a target that is gone has expired.
-    pub lapse_ms: Millis,
+    pub expiry_ms: Millis,
 }
 
 /// Metadata of a target's record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Told {
+pub struct RecordMeta {
     /// Position of its last change in the store.
     pub at: Position,
     /// Incarnation of the target that wrote it; later ones are greater.
-    pub start: u64,
+    pub incarnation: u64,
     /// The target takes no new work.
     pub draining: bool,
 }
@@ -48,8 +48,8 @@
 
 /// Targets by id.
 #[derive(Debug, Clone)]
-pub struct TargetBook<R> {
-    timing: BookTiming,
+pub struct TargetRegistry<R> {
+    timing: RegistryTiming,
     entries: BTreeMap<String, Entry<R>>,
     /// Number of changes of entries so far.
     changes: u64,
@@ -63,10 +63,10 @@
     removed: RemovedIncarnations,
 }
 
-impl<R: PartialEq> TargetBook<R> {
+impl<R: PartialEq> TargetRegistry<R> {
     /// An empty registry; the store is assumed reachable.
-    pub fn new(timing: BookTiming) -> Self {
-        TargetBook {
+    pub fn new(timing: RegistryTiming) -> Self {
+        TargetRegistry {
             timing,
             entries: BTreeMap::new(),
             changes: 0,
@@ -79,14 +79,14 @@
     }
 
     /// Records that the store stopped answering. True when it was reachable before.
-    pub fn store_away(&mut self) -> bool {
+    pub fn store_unreachable(&mut self) -> bool {
         let was_reachable = self.store != StoreState::Unreachable;
         self.store = StoreState::Unreachable;
         was_reachable
     }
 
     /// Records that the store answers. True when it was unreachable before.
-    pub fn store_back(&mut self, now: Millis) -> bool {
+    pub fn store_reachable(&mut self, now: Millis) -> bool {
         let was_unreachable = self.store == StoreState::Unreachable;
         if was_unreachable {
             self.store = StoreState::Reachable(now.max(1));
@@ -96,17 +96,17 @@
 
     /// Records that the store was restored from an older copy: for a while neither missing
     /// records nor records of removed targets are conclusive.
-    pub fn era_began(&mut self, now: Millis) {
-        self.store_away();
-        self.store_back(now);
+    pub fn epoch_began(&mut self, now: Millis) {
+        self.store_unreachable();
+        self.store_reachable(now);
         self.epoch_began_at = Some(now);
     }
 
     /// Records an outage of the store, ended about now, that another entry reported.
-    pub fn told_of_outage(&mut self, now: Millis) {
+    pub fn outage_reported(&mut self, now: Millis) {
         if !self.is_unsettled(now) {
-            self.store_away();
-            self.store_back(now);
+            self.store_unreachable();
+            self.store_reachable(now);
         }
     }
 
@@ -120,14 +120,15 @@
     }
 
     /// Applies a record. True when the registry changed.
-    pub fn put(&mut self, id: &str, meta: Told, record: R) -> bool {
+    pub fn put(&mut self, id: &str, meta: RecordMeta, record: R) -> bool {
         let known = self.entries.get(id);
-        let is_older = |known: &Entry<R>| (meta.start, meta.at) < (known.incarnation, known.at);
+        let is_older =
+            |known: &Entry<R>| (meta.incarnation, meta.at) < (known.incarnation, known.at);
         if known.is_some_and(is_older) || (known.is_none() && self.removed.is_outdated(id, &meta)) {
             // An outdated record still shows that its incarnation is draining.
-            return meta.draining && self.mark_draining(id, meta.start);
+            return meta.draining && self.mark_draining(id, meta.incarnation);
         }
-        let same = known.filter(|known| known.incarnation == meta.start);
+        let same = known.filter(|known| known.incarnation == meta.incarnation);
         let is_copy = same.is_some_and(|known| is_restored_copy(known, &meta, &record));
         let state = match known {
             Some(_) => same.map_or(meta.state(), |known| known.state_after(&meta, is_copy)),
@@ -136,7 +137,7 @@
         let changed = known.is_none_or(|known| known.state != state || known.record != record);
         let entry = Entry {
             record,
-            incarnation: meta.start,
+            incarnation: meta.incarnation,
             at: same.filter(|_| is_copy).map_or(meta.at, |known| known.at),
             missing_at: same.map_or(Position::default(), |known| known.missing_at),
             state,
@@ -162,11 +163,12 @@
     }
 
     /// State that a record gives to a target that isn't registered.
-    fn state_of_unknown(&self, id: &str, meta: &Told) -> State {
-        let may_be_copy = self.listed.era < meta.at.era || meta.at <= self.listed;
+    fn state_of_unknown(&self, id: &str, meta: &RecordMeta) -> State {
+        let may_be_copy = self.listed.epoch < meta.at.epoch || meta.at <= self.listed;
         let removed = self.removed.last(id);
-        let removed = removed
-            .filter(|removed| removed.incarnation == meta.start && removed.at.era < meta.at.era);
+        let removed = removed.filter(|removed| {
+            removed.incarnation == meta.incarnation && removed.at.epoch < meta.at.epoch
+        });
         match removed.filter(|_| may_be_copy) {
             Some(removed) if removed.was_draining => State::Draining,
             Some(_) if !meta.draining => State::Restored,
@@ -176,7 +178,7 @@
 
     /// Drops a target whose record is malformed as of a position. True when the registry
     /// changed.
-    pub fn spoiled(&mut self, id: &str, at: Position) -> bool {
+    pub fn mark_malformed(&mut self, id: &str, at: Position) -> bool {
         let known = self.entries.get(id);
         let is_newer = known.is_some_and(|known| known.at <= at);
         self.changes += u64::from(is_newer);
@@ -184,7 +186,7 @@
     }
 
     /// Applies the removal of a record. `is_unsettled` is the result of
-    /// [`TargetBook::is_unsettled`] at the source of the change. True when the target was
+    /// [`TargetRegistry::is_unsettled`] at the source of the change. True when the target was
     /// removed.
     pub fn deleted(&mut self, id: &str, at: Position, is_unsettled: bool) -> bool {
         let Some(entry) = self.entries.get_mut(id) else {
@@ -207,7 +209,7 @@
     /// the targets removed.
     pub fn reconcile(&mut self, present: &[&str], at: Position, now: Millis) -> Vec<String> {
         self.read_at = now;
-        if self.listed.era < at.era {
+        if self.listed.epoch < at.epoch {
             self.listed = at;
         }
         let is_unsettled = self.is_unsettled(now);
@@ -222,7 +224,7 @@
     /// was last written in an earlier epoch than the list's. True when it was marked.
     fn mark_lost(&mut self, id: &str, at: Position) -> bool {
         let entry = self.entries.get_mut(id);
-        let usable = entry.filter(|entry| entry.at.era < at.era && entry.state.is_usable());
+        let usable = entry.filter(|entry| entry.at.epoch < at.epoch && entry.state.is_usable());
         if let Some(entry) = usable {
             entry.state = State::Unconfirmed;
             entry.missing_at = entry.missing_at.max(at);
@@ -254,7 +256,7 @@
 
     /// Makes restored targets usable whose records exist for longer than the record of a
     /// target that is gone could. True when the registry changed.
-    pub fn take_outlived(&mut self, now: Millis) -> bool {
+    pub fn promote_outlived(&mut self, now: Millis) -> bool {
         if self.outlived_at().is_none_or(|at| now < at) {
             return false;
         }
@@ -265,13 +267,13 @@
         true
     }
 
-    /// When [`TargetBook::take_outlived`] is next due; `None` without restored targets.
+    /// When [`TargetRegistry::promote_outlived`] is next due; `None` without restored targets.
     pub fn outlived_at(&self) -> Option<Millis> {
         let mut entries = self.entries.values();
         let has_restored = entries.any(|entry| entry.state == State::Restored);
         // Without a known beginning of the epoch, counts from the last full read.
         let began = self.epoch_began_at.unwrap_or(self.read_at);
-        has_restored.then_some(began + self.timing.lapse_ms)
+        has_restored.then_some(began + self.timing.expiry_ms)
     }
 
     /// Removes unconfirmed targets whose time to write their record again is over. Returns
@@ -290,7 +292,7 @@
     /// Until when a record that the restored store lost may be written again; `None` if it
     /// wasn't lost that way.
     fn lost_until(&self, entry: &Entry<R>) -> Option<Millis> {
-        let is_lost = entry.at.era < self.listed.era;
+        let is_lost = entry.at.epoch < self.listed.epoch;
         let began = self.epoch_began_at.filter(|_| is_lost)?;
         Some(began + self.timing.lost_ms)
     }
@@ -316,7 +318,7 @@
         }
     }
 
-    /// When [`TargetBook::settle`] is next due; `None` without unconfirmed targets or while the
+    /// When [`TargetRegistry::settle`] is next due; `None` without unconfirmed targets or while the
     /// store is unreachable.
     pub fn settles_at(&self) -> Option<Millis> {
         let StoreState::Reachable(since) = self.store else {
@@ -332,11 +334,11 @@
 
     /// Targets that may get new work.
     pub fn usable(&self) -> impl Iterator<Item = &R> {
-        self.usable_at().map(|(_, record)| record)
+        self.usable_with_positions().map(|(_, record)| record)
     }
 
     /// Targets that may get new work, each with the position of its record's last change.
-    pub fn usable_at(&self) -> impl Iterator<Item = (Position, &R)> {
+    pub fn usable_with_positions(&self) -> impl Iterator<Item = (Position, &R)> {
         let usable = self.entries.values();
         let usable = usable.filter(|entry| entry.state.is_usable());
         usable.map(|entry| (entry.at, &entry.record))
@@ -350,12 +352,12 @@
 
     /// Number of changes so far. Values derived from the registry are valid while it is
     /// unchanged.
-    pub fn changes(&self) -> u64 {
+    pub fn change_count(&self) -> u64 {
         self.changes
     }
 
     /// True when the store doesn't answer.
-    pub fn is_store_away(&self) -> bool {
+    pub fn is_store_unreachable(&self) -> bool {
         self.store == StoreState::Unreachable
     }
 
--- a/crates/fleet/src/target_book/removed.rs
+++ b/crates/fleet/src/target_registry/removed.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use super::entry::{Entry, State};
-use super::Told;
+use super::RecordMeta;
 use crate::Position;
 
 /// Removed incarnations that are remembered; exceeds the removals within the time span that a
@@ -72,9 +72,10 @@
 
     /// True when a record predates the last removal: it was delayed, or comes from an entry
     /// that hasn't settled the removal yet.
-    pub fn is_outdated(&self, id: &str, meta: &Told) -> bool {
+    pub fn is_outdated(&self, id: &str, meta: &RecordMeta) -> bool {
         let removed = self.last(id);
-        removed.is_some_and(|removed| (removed.incarnation, removed.at) >= (meta.start, meta.at))
+        removed
+            .is_some_and(|removed| (removed.incarnation, removed.at) >= (meta.incarnation, meta.at))
     }
 
     /// Records that a removed incarnation was draining.
--- a/crates/fleet/src/throttle.rs
+++ b/crates/fleet/src/throttle.rs
@@ -11,12 +11,12 @@
 
 /// When to send a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Tell {
+pub enum SendTime {
     Now,
     /// The caller that receives this sends the message at the given time.
     At(Millis),
     /// A message that includes the change is already scheduled.
-    IsDue,
+    Scheduled,
 }
 
 /// The current pause of each subject.
@@ -43,24 +43,24 @@
     }
 
     /// Returns when to send a change of a subject.
-    pub fn changed(&self, now: Millis, subject: &K) -> Tell {
+    pub fn changed(&self, now: Millis, subject: &K) -> SendTime {
         let mut pauses = self.pauses.borrow_mut();
         pauses.retain(|_, pause| pause.is_scheduled || now < pause.until);
         match pauses.get_mut(subject) {
             None => {
                 pauses.insert(subject.clone(), self.pause(now));
-                Tell::Now
+                SendTime::Now
             }
-            Some(pause) if pause.is_scheduled => Tell::IsDue,
+            Some(pause) if pause.is_scheduled => SendTime::Scheduled,
             Some(pause) => {
                 pause.is_scheduled = true;
-                Tell::At(pause.until)
+                SendTime::At(pause.until)
             }
         }
     }
 
     /// Starts the next pause after a scheduled message was sent.
-    pub fn told(&self, now: Millis, subject: &K) {
+    pub fn sent(&self, now: Millis, subject: &K) {
         let pause = self.pause(now);
         self.pauses.borrow_mut().insert(subject.clone(), pause);
     }
--- a/crates/fleet/src/warm_ups.rs
+++ b/crates/fleet/src/warm_ups.rs
@@ -10,12 +10,12 @@
 
 /// The record of a target that is warming up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ColdRecord<'a> {
+pub struct WarmUpRecord<'a> {
     pub incarnation: &'a str,
     /// Position of the record's last change.
     pub at: Position,
     /// Remaining warm-up time, in milliseconds.
-    pub cold_ms: Millis,
+    pub remaining_ms: Millis,
 }
 
 /// The warm-up derived from one version of a record.
@@ -27,13 +27,13 @@
 
 /// Warm-ups by target.
 #[derive(Debug, Clone, Default)]
-pub struct ColdSpells {
+pub struct WarmUps {
     warm_ups: BTreeMap<String, WarmUp>,
 }
 
-impl ColdSpells {
+impl WarmUps {
     /// Replaces all warm-ups by those of `records`. A record seen before keeps its end.
-    pub fn take<'a>(&mut self, now: Millis, records: impl Iterator<Item = ColdRecord<'a>>) {
+    pub fn replace<'a>(&mut self, now: Millis, records: impl Iterator<Item = WarmUpRecord<'a>>) {
         let before = std::mem::take(&mut self.warm_ups);
         for record in records {
             let known = before.get(record.incarnation);
@@ -41,7 +41,7 @@
                 Some(known) if known.at >= record.at => *known,
                 _ => WarmUp {
                     at: record.at,
-                    until: now + record.cold_ms,
+                    until: now + record.remaining_ms,
                 },
             };
             self.warm_ups
--- a/crates/fleet/src/watch_log.rs
+++ b/crates/fleet/src/watch_log.rs
@@ -10,7 +10,7 @@
 
 /// The changes that a log holds after a position.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Since<C> {
+pub enum ChangesSince<C> {
     /// All changes after it, in order, up to `to`.
     Changes { changes: Vec<C>, to: Position },
     /// The log has no later changes.
@@ -43,13 +43,13 @@
     }
 
     /// Clears the log after a full read as of a position.
-    pub fn begin(&mut self, at: Position) {
+    pub fn restart_at(&mut self, at: Position) {
         self.from = at;
         self.to = at;
         self.changes.clear();
     }
 
-    /// Appends all changes after [`WatchLog::known_to`] up to `to`, each with its position.
+    /// Appends all changes after [`WatchLog::end`] up to `to`, each with its position.
     pub fn extend(&mut self, changes: impl IntoIterator<Item = (Position, C)>, to: Position) {
         self.changes.extend(changes);
         self.to = self.to.max(to);
@@ -61,20 +61,20 @@
     }
 
     /// The position up to which the log holds all changes.
-    pub fn known_to(&self) -> Position {
+    pub fn end(&self) -> Position {
         self.to
     }
 
     /// The changes after a position.
-    pub fn since(&self, after: Position) -> Since<C> {
+    pub fn since(&self, after: Position) -> ChangesSince<C> {
         if after < self.from {
-            return Since::Unknown;
+            return ChangesSince::Unknown;
         }
         if after >= self.to {
-            return Since::NothingNew;
+            return ChangesSince::NothingNew;
         }
         let newer = self.changes.iter().filter(|(at, _)| *at > after);
-        Since::Changes {
+        ChangesSince::Changes {
             changes: newer.map(|(_, change)| change.clone()).collect(),
             to: self.to,
         }
--- a/crates/fleet/tests/suite/accept.rs
+++ b/crates/fleet/tests/suite/accept.rs
@@ -4,7 +4,7 @@
 //! outcome must match the store's history.
 
 use hollowsail_config::chunk::Head;
-use hollowsail_fleet::{Accept, AcceptStep, Accepted, Apply, HeadAnswer};
+use hollowsail_fleet::{Accept, AcceptStep, Apply, ApplyOutcome, HeadReply};
 use proptest::prelude::*;
 
 /// Delivery of one call.
@@ -34,31 +34,31 @@
 }
 
 impl Store {
-    fn write(&mut self, over: Option<u64>, head: &Head) -> HeadAnswer {
+    fn write(&mut self, over: Option<u64>, head: &Head) -> HeadReply {
         if over.unwrap_or(0) != self.version {
-            return HeadAnswer::Moved;
+            return HeadReply::VersionMismatch;
         }
         self.version += 1;
         self.history.push(head.clone());
-        HeadAnswer::Written
+        HeadReply::Written
     }
 
-    fn call(&mut self, step: &AcceptStep, delivery: Delivery) -> HeadAnswer {
+    fn call(&mut self, step: &AcceptStep, delivery: Delivery) -> HeadReply {
         let reply = match (step, delivery) {
-            (_, Delivery::NotSent) => return HeadAnswer::NotDone,
+            (_, Delivery::NotSent) => return HeadReply::NotDone,
             (AcceptStep::WriteHead { over, head }, Delivery::Delayed) => {
                 self.delayed.push((*over, head.clone()));
-                return HeadAnswer::Lost;
+                return HeadReply::Lost;
             }
             (AcceptStep::WriteHead { over, head }, _) => self.write(*over, head),
             (AcceptStep::ReadHead, _) => {
                 let found = self.history.last().map(|head| (self.version, head.clone()));
-                HeadAnswer::Read(found)
+                HeadReply::Read(found)
             }
         };
         match (step, delivery) {
-            (AcceptStep::ReadHead, Delivery::ReplyLost | Delivery::Delayed) => HeadAnswer::NotDone,
-            (_, Delivery::ReplyLost) => HeadAnswer::Lost,
+            (AcceptStep::ReadHead, Delivery::ReplyLost | Delivery::Delayed) => HeadReply::NotDone,
+            (_, Delivery::ReplyLost) => HeadReply::Lost,
             _ => reply,
         }
     }
@@ -94,7 +94,7 @@
     id: String,
     base: u64,
     accept: Accept,
-    outcome: Option<Accepted>,
+    outcome: Option<ApplyOutcome>,
 }
 
 fn begin(id: String, base: u64, resent: bool) -> Operator {
@@ -118,20 +118,20 @@
         .iter()
         .find(|head| head.apply_id == operator.id);
     match &operator.outcome {
-        Some(Accepted::Yes { revision, .. }) => {
+        Some(ApplyOutcome::Accepted { revision, .. }) => {
             let head = accepted.expect("outcome is accepted, but the store has no such head");
             assert_eq!(head.revision, *revision);
             assert_eq!(head.parent, operator.base, "accepted on a different base");
         }
-        Some(Accepted::Conflict(_)) => assert!(
+        Some(ApplyOutcome::Conflict(_)) => assert!(
             accepted.is_none(),
             "outcome is conflict, but it was accepted"
         ),
-        Some(Accepted::Unavailable) => assert!(
+        Some(ApplyOutcome::Unavailable) => assert!(
             accepted.is_none(),
             "outcome is unavailable, but it was accepted"
         ),
-        Some(Accepted::Unknown) | None => {}
+        Some(ApplyOutcome::Unknown) | None => {}
     }
 }
 
@@ -164,7 +164,7 @@
                     let slot = &mut operators[operator];
                     let next = match &slot.outcome {
                         None => continue,
-                        Some(Accepted::Unknown) => begin(slot.id.clone(), slot.base, true),
+                        Some(ApplyOutcome::Unknown) => begin(slot.id.clone(), slot.base, true),
                         Some(_) => begin(new_id(), base, false),
                     };
                     past.push(std::mem::replace(slot, next));
--- a/crates/fleet/tests/suite/evacuated_halls.rs
+++ b/crates/fleet/tests/suite/evacuated_halls.rs
@@ -1,6 +1,6 @@
 //! Tests of the evacuated halls, against the operators' changes.
 
-use hollowsail_fleet::{EmptiedHalls, Position};
+use hollowsail_fleet::{EvacuatedHalls, Position};
 use proptest::prelude::*;
 
 use crate::config;
@@ -53,18 +53,18 @@
 }
 
 /// Applies the changes between two revisions, as a watch does.
-fn apply_changes(halls: &mut EmptiedHalls, history: &History, from: u64, to: u64) {
+fn apply_changes(halls: &mut EvacuatedHalls, history: &History, from: u64, to: u64) {
     for known in from..to {
         let (hall, evacuates) = history[known as usize];
         let _changed = match evacuates {
-            true => halls.emptied(HALLS[hall], at(known + 1)),
-            false => halls.taken_back(HALLS[hall], at(known + 1)),
+            true => halls.evacuated(HALLS[hall], at(known + 1)),
+            false => halls.reinstated(HALLS[hall], at(known + 1)),
         };
     }
-    halls.told_until(at(to));
+    halls.advance_to(at(to));
 }
 
-fn names(halls: &EmptiedHalls) -> Vec<String> {
+fn names(halls: &EvacuatedHalls) -> Vec<String> {
     halls.names().map(str::to_string).collect()
 }
 
@@ -76,7 +76,7 @@
         events in proptest::collection::vec(event(), 1..60),
     ) {
         let mut history = History::new();
-        let mut entries = vec![EmptiedHalls::default(); 3];
+        let mut entries = vec![EvacuatedHalls::default(); 3];
         // The revision from which each entry's watch continues, independent of peers.
         let mut watched = [0u64; 3];
         for event in events {
@@ -111,11 +111,11 @@
 
 #[test]
 fn outdated_input_changes_nothing() {
-    let mut halls = EmptiedHalls::default();
+    let mut halls = EvacuatedHalls::default();
     assert!(halls.take_list(at(5), vec![("a".to_string(), at(4))]));
     assert!(!halls.take_list(at(3), Vec::new()), "an older list");
-    assert!(!halls.taken_back("a", at(5)), "already applied");
+    assert!(!halls.reinstated("a", at(5)), "already applied");
     assert!(halls.contains("a"));
-    assert!(halls.taken_back("a", at(6)));
+    assert!(halls.reinstated("a", at(6)));
     assert!(!halls.contains("a"));
 }
--- a/crates/fleet/tests/suite/groups.rs
+++ b/crates/fleet/tests/suite/groups.rs
@@ -11,7 +11,7 @@
 /// Number of targets whose group differs between two target counts.
 fn moved(names: &[String], before: usize, after: usize) -> usize {
     let (before, after) = (groups::count(before, SIZE), groups::count(after, SIZE));
-    let moves = |name: &&String| groups::place_of(name, before) != groups::place_of(name, after);
+    let moves = |name: &&String| groups::group_of(name, before) != groups::group_of(name, after);
     names.iter().filter(moves).count()
 }
 
@@ -38,7 +38,7 @@
     for group in 0..count {
         let size = names
             .iter()
-            .filter(|name| groups::place_of(name, count) == group)
+            .filter(|name| groups::group_of(name, count) == group)
             .count();
         assert!((16..=52).contains(&size), "{size} targets in group {group}");
     }
@@ -47,5 +47,5 @@
 #[test]
 fn few_targets_are_one_group() {
     assert_eq!((groups::count(0, SIZE), groups::count(32, SIZE)), (1, 1));
-    assert!(names(32).iter().all(|name| groups::place_of(name, 1) == 0));
+    assert!(names(32).iter().all(|name| groups::group_of(name, 1) == 0));
 }
--- a/crates/fleet/tests/suite/large_registry.rs
+++ b/crates/fleet/tests/suite/large_registry.rs
@@ -2,12 +2,12 @@
 
 use std::time::{Duration, Instant};
 
-use hollowsail_fleet::{BookTiming, Position, TargetBook, Told};
+use hollowsail_fleet::{Position, RecordMeta, RegistryTiming, TargetRegistry};
 
-const TIMING: BookTiming = BookTiming {
+const TIMING: RegistryTiming = RegistryTiming {
     return_ms: 2_000,
     lost_ms: 3_000,
-    lapse_ms: 5_000,
+    expiry_ms: 5_000,
 };
 
 /// Largest ratio of the durations of a list of four times the records: linear, with a margin
@@ -19,13 +19,13 @@
 }
 
 /// The shortest of five durations of `change` on a registry with `count` records.
-fn min_duration(count: usize, change: fn(&mut TargetBook<u32>, &[&str])) -> Duration {
+fn min_duration(count: usize, change: fn(&mut TargetRegistry<u32>, &[&str])) -> Duration {
     let ids = ids(count);
-    let mut registry = TargetBook::new(TIMING);
+    let mut registry = TargetRegistry::new(TIMING);
     for id in &ids {
-        let meta = Told {
+        let meta = RecordMeta {
             at: Position::new(0, 1),
-            start: 0,
+            incarnation: 0,
             draining: false,
         };
         registry.put(id, meta, 1);
@@ -39,7 +39,7 @@
     runs.min().unwrap_or_default()
 }
 
-fn assert_linear(change: fn(&mut TargetBook<u32>, &[&str])) {
+fn assert_linear(change: fn(&mut TargetRegistry<u32>, &[&str])) {
     let (few, many) = (min_duration(2_500, change), min_duration(10_000, change));
     let ratio = many.as_secs_f64() / few.as_secs_f64();
     assert!(ratio < MAX_RATIO, "{few:?} and {many:?}: ratio {ratio:.1}");
@@ -63,31 +63,31 @@
 
 #[test]
 fn every_entry_change_is_counted() {
-    let mut registry = TargetBook::new(TIMING);
-    let meta = |revision, draining| Told {
+    let mut registry = TargetRegistry::new(TIMING);
+    let meta = |revision, draining| RecordMeta {
         at: Position::new(0, revision),
-        start: 0,
+        incarnation: 0,
         draining,
     };
-    let mut seen = vec![registry.changes()];
+    let mut seen = vec![registry.change_count()];
     registry.put("a", meta(1, false), 1);
-    seen.push(registry.changes());
+    seen.push(registry.change_count());
     registry.put("a", meta(2, true), 1);
-    seen.push(registry.changes());
+    seen.push(registry.change_count());
     registry.put("b", meta(3, false), 1);
-    seen.push(registry.changes());
+    seen.push(registry.change_count());
     registry.deleted("b", Position::new(0, 4), true);
-    seen.push(registry.changes());
+    seen.push(registry.change_count());
     registry.settle(10);
-    seen.push(registry.changes());
-    registry.spoiled("a", Position::new(0, 5));
-    seen.push(registry.changes());
+    seen.push(registry.change_count());
+    registry.mark_malformed("a", Position::new(0, 5));
+    seen.push(registry.change_count());
     seen.dedup();
     assert_eq!(seen.len(), 7, "{seen:?}");
     registry.reconcile(&[], Position::new(0, 6), 20);
     assert_eq!(
         seen.last(),
-        Some(&registry.changes()),
+        Some(&registry.change_count()),
         "the registry was already empty"
     );
 }
--- a/crates/fleet/tests/suite/leaving.rs
+++ b/crates/fleet/tests/suite/leaving.rs
@@ -127,6 +127,6 @@
     assert!(view.is_settled());
     view.observe(&listed_hosts(&["a", "b", "c"]));
     assert!(view.takes_work("d") && !view.is_settled());
-    view.read_again();
+    view.reread_unchanged();
     assert!(!view.takes_work("d") && view.is_settled());
 }
--- a/crates/fleet/tests/suite/live_runs.rs
+++ b/crates/fleet/tests/suite/live_runs.rs
@@ -8,26 +8,26 @@
 
 fn listed(runs: &[Run]) -> LiveRuns<Run, Run> {
     let mut live = LiveRuns::new(|run: &Run| *run);
-    live.take_listed(runs.to_vec());
+    live.set_listed(runs.to_vec());
     live
 }
 
 #[test]
 fn observed_run_replaces_previous() {
     let mut live = listed(&[('a', 1), ('b', 1)]);
-    live.heard(('a', 1), ('a', 2));
+    live.observed(('a', 1), ('a', 2));
     assert_eq!(live.live(), [('a', 2), ('b', 1)]);
-    live.heard(('a', 2), ('a', 3));
+    live.observed(('a', 2), ('a', 3));
     assert_eq!(live.live(), [('a', 3), ('b', 1)]);
 }
 
 #[test]
 fn observed_runs_of_two_hosts_are_both_kept() {
     let mut live = listed(&[('a', 1), ('b', 1)]);
-    live.heard(('a', 1), ('a', 2));
-    live.heard(('b', 1), ('b', 2));
+    live.observed(('a', 1), ('a', 2));
+    live.observed(('b', 1), ('b', 2));
     assert_eq!(live.live(), [('a', 2), ('b', 2)]);
-    live.take_listed(vec![('a', 1), ('b', 1)]);
+    live.set_listed(vec![('a', 1), ('b', 1)]);
     assert_eq!(
         live.live(),
         [('a', 2), ('b', 2)],
@@ -38,10 +38,10 @@
 #[test]
 fn listed_run_counts_once_store_catches_up() {
     let mut live = listed(&[('a', 1)]);
-    live.heard(('a', 1), ('a', 2));
-    live.take_listed(vec![('a', 2)]);
+    live.observed(('a', 1), ('a', 2));
+    live.set_listed(vec![('a', 2)]);
     assert_eq!(live.live(), [('a', 2)]);
-    live.take_listed(vec![('a', 1)]);
+    live.set_listed(vec![('a', 1)]);
     assert_eq!(live.live(), [('a', 1)], "the observed run was dropped");
 }
 
@@ -59,9 +59,9 @@
             let host = usize::from(host);
             if store_catches_up {
                 listed_runs[host] = observed[host];
-                live.take_listed((0..4).map(|index| (hosts[index], listed_runs[index])).collect());
+                live.set_listed((0..4).map(|index| (hosts[index], listed_runs[index])).collect());
             } else {
-                live.heard((hosts[host], observed[host]), (hosts[host], observed[host] + 1));
+                live.observed((hosts[host], observed[host]), (hosts[host], observed[host] + 1));
                 observed[host] += 1;
             }
             let expected: Vec<Run> = (0..4).map(|index| (hosts[index], observed[index])).collect();
--- a/crates/fleet/tests/suite/membership.rs
+++ b/crates/fleet/tests/suite/membership.rs
@@ -310,7 +310,7 @@
         member(6, Stopping::Left, Some(5)),
     ];
     let find = |wanted| members.iter().find(|m: &&Member| m.incarnation == wanted);
-    let resolve = |issuer| member::answering(issuer, find).map(|m| m.incarnation);
+    let resolve = |issuer| member::resolve_issuer(issuer, find).map(|m| m.incarnation);
     assert_eq!(resolve(1), Some(3));
     assert_eq!(resolve(3), Some(3));
     assert_eq!(resolve(4), None);
--- a/crates/fleet/tests/suite/ownership.rs
+++ b/crates/fleet/tests/suite/ownership.rs
@@ -7,7 +7,7 @@
     Candidate {
         host,
         capacity,
-        is_slow: false,
+        is_lagging: false,
     }
 }
 
@@ -32,12 +32,12 @@
 #[test]
 fn lagging_host_owns_nothing_unless_all_lag() {
     let mut entries = [entry("one", 200), entry("two", 200), entry("small", 10)];
-    entries[0].is_slow = true;
+    entries[0].is_lagging = true;
     for queue in 0..50 {
         let queue = format!("queue-{queue}");
         assert_eq!(owner(&queue, entries.into_iter()), Some(1));
     }
-    entries.iter_mut().for_each(|entry| entry.is_slow = true);
+    entries.iter_mut().for_each(|entry| entry.is_lagging = true);
     let owned = (0..50).filter_map(|queue| owner(&format!("queue-{queue}"), entries.into_iter()));
     assert!(owned.into_iter().any(|index| index == 0));
 }
--- a/crates/fleet/tests/suite/restored_store.rs
+++ b/crates/fleet/tests/suite/restored_store.rs
@@ -6,17 +6,17 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use hollowsail_fleet::{BookTiming, EmptiedHalls, Position, TargetBook, Told};
+use hollowsail_fleet::{EvacuatedHalls, Position, RecordMeta, RegistryTiming, TargetRegistry};
 use proptest::prelude::*;
 
 use crate::config;
 
 const IDS: [&str; 3] = ["a", "b", "c"];
 const ENTRIES: usize = 2;
-const TIMING: BookTiming = BookTiming {
+const TIMING: RegistryTiming = RegistryTiming {
     return_ms: 2_000,
     lost_ms: 2_000,
-    lapse_ms: 5_000,
+    expiry_ms: 5_000,
 };
 /// Longer than any delay of `TIMING`.
 const SETTLED_MS: u64 = 10_000;
@@ -67,8 +67,8 @@
 
 /// One entry: its state, and the position from which its watch continues.
 struct Entry {
-    registry: TargetBook<(String, TargetState)>,
-    halls: EmptiedHalls,
+    registry: TargetRegistry<(String, TargetState)>,
+    halls: EvacuatedHalls,
     at: Option<Position>,
     /// Incarnations that it has seen draining.
     drained: BTreeSet<(String, u64)>,
@@ -77,17 +77,17 @@
 impl Entry {
     fn new() -> Self {
         Entry {
-            registry: TargetBook::new(TIMING),
-            halls: EmptiedHalls::default(),
+            registry: TargetRegistry::new(TIMING),
+            halls: EvacuatedHalls::default(),
             at: None,
             drained: BTreeSet::new(),
         }
     }
 
     fn put(&mut self, id: &str, state: TargetState, at: Position) {
-        let meta = Told {
+        let meta = RecordMeta {
             at,
-            start: state.incarnation,
+            incarnation: state.incarnation,
             draining: state.draining,
         };
         if state.draining {
@@ -97,8 +97,8 @@
     }
 
     fn list(&mut self, store: &Store, now: u64) {
-        if self.at.is_some_and(|at| at.era < store.epoch) {
-            self.registry.era_began(now);
+        if self.at.is_some_and(|at| at.epoch < store.epoch) {
+            self.registry.epoch_began(now);
         }
         let as_of = store.at();
         let mut halls = Vec::new();
@@ -120,7 +120,7 @@
 
     /// Applies all changes of its epoch; reads the list in a new one.
     fn watch(&mut self, store: &Store, now: u64) {
-        let Some(at) = self.at.filter(|at| at.era == store.epoch) else {
+        let Some(at) = self.at.filter(|at| at.epoch == store.epoch) else {
             return self.list(store, now);
         };
         let is_unsettled = self.registry.is_unsettled(now);
@@ -132,12 +132,12 @@
             let is_target = IDS.contains(&key.as_str());
             match value {
                 Some(Some(state)) => self.put(key, *state, change),
-                Some(None) => drop(self.halls.emptied(key, change)),
+                Some(None) => drop(self.halls.evacuated(key, change)),
                 None if is_target => drop(self.registry.deleted(key, change, is_unsettled)),
-                None => drop(self.halls.taken_back(key, change)),
+                None => drop(self.halls.reinstated(key, change)),
             }
         }
-        self.halls.told_until(store.at());
+        self.halls.advance_to(store.at());
         self.at = Some(store.at());
     }
 
@@ -179,7 +179,7 @@
 struct Snapshot {
     at: Option<Position>,
     records: Vec<(Position, String, TargetState)>,
-    halls: EmptiedHalls,
+    halls: EvacuatedHalls,
 }
 
 #[derive(Debug, Clone)]
@@ -320,7 +320,7 @@
             apply_event(event, &mut store, &mut truth, &mut entries, &mut now);
             for (entry, known) in entries.iter_mut().zip(known) {
                 entry.registry.settle(now);
-                entry.registry.take_outlived(now);
+                entry.registry.promote_outlived(now);
                 for (id, state) in entry.registry.usable() {
                     let drained = entry.drained.contains(&(id.clone(), state.incarnation));
                     prop_assert!(!drained, "{id} is draining but usable after {event:?}");
@@ -336,8 +336,8 @@
             now += SETTLED_MS;
             entry.watch(&store, now);
             entry.registry.settle(now);
-            entry.registry.take_outlived(now);
-            entry.halls.drop_unwritten();
+            entry.registry.promote_outlived(now);
+            entry.halls.drop_unconfirmed();
             let usable = truth.targets.values().filter(|state| !state.draining);
             let usable: Vec<TargetState> = usable.copied().collect();
             prop_assert_eq!(entry.usable(), usable);
--- a/crates/fleet/tests/suite/store_followers.rs
+++ b/crates/fleet/tests/suite/store_followers.rs
@@ -1,7 +1,7 @@
 //! Tests of which entries follow the store.
 
 use hollowsail_fleet::ownership::Candidate;
-use hollowsail_fleet::readers::{choose, FOLLOWERS, MIN_ENTRIES};
+use hollowsail_fleet::store_followers::{choose, FOLLOWERS, MIN_ENTRIES};
 
 fn names(count: usize) -> Vec<String> {
     (0..count).map(|index| format!("host-{index}")).collect()
@@ -11,7 +11,7 @@
     let entries = names.iter().map(|host| Candidate {
         host,
         capacity: 100,
-        is_slow: false,
+        is_lagging: false,
     });
     let indices = choose("hall-a", entries)?;
     Some(
--- a/crates/fleet/tests/suite/target_book.rs
+++ b/crates/fleet/tests/suite/target_book.rs
@@ -1,12 +1,12 @@
 //! Tests of the target registry, through outages of the store.
 
-use hollowsail_fleet::{BookTiming, Position, TargetBook, Told};
+use hollowsail_fleet::{Position, RecordMeta, RegistryTiming, TargetRegistry};
 use proptest::prelude::*;
 
-const TIMING: BookTiming = BookTiming {
+const TIMING: RegistryTiming = RegistryTiming {
     return_ms: 2_000,
     lost_ms: 3_000,
-    lapse_ms: 5_000,
+    expiry_ms: 5_000,
 };
 
 /// A revision of a store that reports no epoch.
@@ -15,35 +15,35 @@
 }
 
 /// A record of the first incarnation, written at a revision.
-fn meta(revision: u64, draining: bool) -> Told {
-    Told {
+fn meta(revision: u64, draining: bool) -> RecordMeta {
+    RecordMeta {
         at: at(revision),
-        start: 0,
+        incarnation: 0,
         draining,
     }
 }
 
 /// A record of an incarnation.
-fn meta_of(start: u64, revision: u64, draining: bool) -> Told {
-    Told {
-        start,
+fn meta_of(incarnation: u64, revision: u64, draining: bool) -> RecordMeta {
+    RecordMeta {
+        incarnation,
         ..meta(revision, draining)
     }
 }
 
-fn registry() -> TargetBook<&'static str> {
-    let mut registry = TargetBook::new(TIMING);
+fn registry() -> TargetRegistry<&'static str> {
+    let mut registry = TargetRegistry::new(TIMING);
     registry.put("a", meta(1, false), "a");
     registry.put("b", meta(2, false), "b");
     registry
 }
 
-fn usable(registry: &TargetBook<&'static str>) -> Vec<&'static str> {
+fn usable(registry: &TargetRegistry<&'static str>) -> Vec<&'static str> {
     registry.usable().copied().collect()
 }
 
 /// Applies the removal of a record as read from the store itself.
-fn deleted(registry: &mut TargetBook<&'static str>, id: &str, revision: u64, now: u64) -> bool {
+fn deleted(registry: &mut TargetRegistry<&'static str>, id: &str, revision: u64, now: u64) -> bool {
     let is_unsettled = registry.is_unsettled(now);
     registry.deleted(id, at(revision), is_unsettled)
 }
@@ -59,7 +59,7 @@
 #[test]
 fn conclusive_removal_counts_during_outage() {
     let mut registry = registry();
-    registry.store_away();
+    registry.store_unreachable();
     assert!(registry.deleted("a", at(3), false));
     assert_eq!(usable(&registry), ["b"]);
 }
@@ -104,10 +104,13 @@
 #[test]
 fn malformed_record_removes_target_until_next() {
     let mut registry = registry();
-    assert!(!registry.spoiled("a", at(0)), "older than the known record");
-    assert!(registry.spoiled("a", at(5)));
+    assert!(
+        !registry.mark_malformed("a", at(0)),
+        "older than the known record"
+    );
+    assert!(registry.mark_malformed("a", at(5)));
     assert_eq!(usable(&registry), ["b"]);
-    assert!(!registry.spoiled("a", at(6)), "already removed");
+    assert!(!registry.mark_malformed("a", at(6)), "already removed");
     assert!(registry.put("a", meta(7, false), "a"));
     assert_eq!(usable(&registry), ["a", "b"]);
 }
@@ -115,10 +118,10 @@
 #[test]
 fn record_expired_in_outage_stays_until_settled() {
     let mut registry = registry();
-    assert!(registry.store_away() && !registry.store_away());
+    assert!(registry.store_unreachable() && !registry.store_unreachable());
     assert!(!deleted(&mut registry, "a", 3, 100));
     assert_eq!(usable(&registry), ["a", "b"]);
-    assert!(registry.store_back(1_000));
+    assert!(registry.store_reachable(1_000));
     assert_eq!(registry.settles_at(), Some(3_000));
     assert!(
         registry.reconcile(&["a"], at(9), 1_500).is_empty(),
@@ -134,7 +137,7 @@
 #[test]
 fn peer_list_in_outage_keeps_newer_records() {
     let mut registry = registry();
-    registry.store_away();
+    registry.store_unreachable();
     registry.put("c", meta(9, false), "c");
     assert_eq!(registry.adopt(&["b"], at(5)), ["a"]);
     assert_eq!(
@@ -168,7 +171,7 @@
     #[test]
     fn registry_matches_model(events in prop::collection::vec(event(), 1..120)) {
         const IDS: [&str; 4] = ["a", "b", "c", "d"];
-        let mut registry: TargetBook<&str> = TargetBook::new(TIMING);
+        let mut registry: TargetRegistry<&str> = TargetRegistry::new(TIMING);
         let mut recorded = [false; 4];
         let mut known = [false; 4];
         let mut drained = [false; 4];
@@ -192,11 +195,11 @@
                     }
                 }
                 Event::Unreachable => {
-                    registry.store_away();
+                    registry.store_unreachable();
                     unreachable = true;
                 }
                 Event::Reachable => {
-                    if registry.store_back(now) {
+                    if registry.store_reachable(now) {
                         returned_at = now.max(1);
                     }
                     unreachable = false;
@@ -220,7 +223,7 @@
 /// Frequent restarts of all targets must not accumulate entries.
 #[test]
 fn restarts_keep_one_entry_per_target() {
-    let mut registry: TargetBook<u64> = TargetBook::new(TIMING);
+    let mut registry: TargetRegistry<u64> = TargetRegistry::new(TIMING);
     let mut revision = 0;
     for incarnation in 1..=13 {
         for target in 0..770 {
--- a/crates/fleet/tests/suite/watch_log.rs
+++ b/crates/fleet/tests/suite/watch_log.rs
@@ -1,6 +1,6 @@
 //! Tests of entries that follow other entries' logs, against the store's changes.
 
-use hollowsail_fleet::{Position, Since, WatchLog};
+use hollowsail_fleet::{ChangesSince, Position, WatchLog};
 use proptest::prelude::*;
 
 use crate::config;
@@ -59,11 +59,11 @@
 
     fn restore(&mut self, lost: u64) {
         let revision = self.newest.revision.saturating_sub(lost);
-        self.newest = Position::new(self.newest.era + 1, revision);
+        self.newest = Position::new(self.newest.epoch + 1, revision);
         self.changed.retain(|(at, _)| at.revision <= revision);
         // The remaining changes belong to the new epoch, at the same revisions.
         for (at, _) in &mut self.changed {
-            at.era = self.newest.era;
+            at.epoch = self.newest.epoch;
         }
     }
 
@@ -91,39 +91,39 @@
                 Event::Change { is_followed } => store.change(is_followed),
                 Event::Restore { lost } => store.restore(lost),
                 Event::Watch { follower, .. } | Event::Read { follower }
-                    if logged[follower].era < store.newest.era =>
+                    if logged[follower].epoch < store.newest.epoch =>
                 {
-                    logs[follower].begin(store.newest);
+                    logs[follower].restart_at(store.newest);
                     logged[follower] = store.newest;
                 }
                 Event::Watch { follower, behind } => {
                     let to = store.newest.revision.saturating_sub(behind);
-                    let to = Position::new(store.newest.era, to).max(logged[follower]);
+                    let to = Position::new(store.newest.epoch, to).max(logged[follower]);
                     let is_new = |change: &&Change| change.0 > logged[follower] && change.0 <= to;
                     let new: Vec<Change> = store.changed.iter().filter(is_new).copied().collect();
                     logs[follower].extend(new, to);
                     logged[follower] = to;
                 }
                 Event::Read { follower } => {
-                    logs[follower].begin(store.newest);
+                    logs[follower].restart_at(store.newest);
                     logged[follower] = store.newest;
                 }
                 Event::Poll { follower, is_lost } => match logs[follower].since(known) {
                     _ if is_lost => {}
-                    Since::Changes { changes, to } => {
-                        prop_assert!(to > known && to.era == known.era);
+                    ChangesSince::Changes { changes, to } => {
+                        prop_assert!(to > known && to.epoch == known.epoch);
                         received.extend(changes);
                         known = to;
                     }
-                    Since::NothingNew => prop_assert!(logged[follower] <= known),
-                    Since::Unknown => {
+                    ChangesSince::NothingNew => prop_assert!(logged[follower] <= known),
+                    ChangesSince::Unknown => {
                         // The client reads the list from the store.
                         received = store.list();
                         known = store.newest;
                     }
                 },
             }
-            if known.era == store.newest.era {
+            if known.epoch == store.newest.epoch {
                 let changed = store.changed.iter().filter(|(at, _)| *at <= known);
                 let expected: Vec<u64> = changed.map(|(_, sequence)| *sequence).collect();
                 prop_assert_eq!(&received, &expected);
@@ -136,18 +136,18 @@
 fn full_log_drops_oldest_and_reports_it() {
     let mut log = WatchLog::new(2);
     log.extend([(at(1), "a"), (at(2), "b"), (at(3), "c")], at(4));
-    assert_eq!(log.since(at(0)), Since::Unknown);
+    assert_eq!(log.since(at(0)), ChangesSince::Unknown);
     let (changes, to) = (vec!["b", "c"], at(4));
-    assert_eq!(log.since(at(1)), Since::Changes { changes, to });
-    assert_eq!(log.since(at(4)), Since::NothingNew);
+    assert_eq!(log.since(at(1)), ChangesSince::Changes { changes, to });
+    assert_eq!(log.since(at(4)), ChangesSince::NothingNew);
 }
 
 #[test]
 fn log_returns_no_changes_to_another_epoch() {
     let mut log = WatchLog::new(8);
-    log.begin(Position::new(2, 5));
+    log.restart_at(Position::new(2, 5));
     log.extend([(Position::new(2, 6), "a")], Position::new(2, 7));
-    assert_eq!(log.since(Position::new(1, 6)), Since::Unknown);
-    assert_eq!(log.since(Position::new(1, 900)), Since::Unknown);
-    assert_eq!(log.since(Position::new(3, 1)), Since::NothingNew);
+    assert_eq!(log.since(Position::new(1, 6)), ChangesSince::Unknown);
+    assert_eq!(log.since(Position::new(1, 900)), ChangesSince::Unknown);
+    assert_eq!(log.since(Position::new(3, 1)), ChangesSince::NothingNew);
 }
--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use hollowsail_observe::ErrorKind;
-use hollowsail_platform::heads;
+use hollowsail_platform::headers;
 use http::{header, HeaderValue, Response, StatusCode};
 use http_body::Body;
 use http_body_util::{BodyExt, Full};
@@ -21,14 +21,14 @@
     },
     /// The deadline of the request passed.
     #[snafu(display("the request's deadline passed before the response was complete"))]
-    TimeOver,
+    DeadlineExceeded,
 }
 
 /// Body of a response.
 pub type AnswerStream = Pin<Box<dyn Body<Data = Bytes, Error = BodyFault>>>;
 
 /// A complete body.
-pub fn whole(bytes: Bytes) -> AnswerStream {
+pub fn full_body(bytes: Bytes) -> AnswerStream {
     Box::pin(Full::new(bytes).map_err(|never| match never {}))
 }
 
@@ -53,7 +53,7 @@
     }
 
     /// Sets `Retry-After`.
-    pub fn come_back_after(mut self, after: Duration) -> Self {
+    pub fn with_retry_after(mut self, after: Duration) -> Self {
         self.retry_after = Some(after);
         self
     }
@@ -68,17 +68,17 @@
         let row = self.kind.answer();
         let status = self.status();
         let text = format!("{}: {}; {}\n", row.name, self.detail, row.advice);
-        let mut response = Response::new(whole(text.into()));
+        let mut response = Response::new(full_body(text.into()));
         *response.status_mut() = status;
         let headers = response.headers_mut();
         headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
         if let Some(request_id) = request_id {
-            heads::set_request_id(headers, request_id);
+            headers::set_request_id(headers, request_id);
         }
         let own = row.retry_after_ms.map(Duration::from_millis);
         let promises_not_run = status == StatusCode::SERVICE_UNAVAILABLE;
         if let Some(after) = self.retry_after.or(own).filter(|_| promises_not_run) {
-            headers.insert(header::RETRY_AFTER, heads::retry_after_value(after));
+            headers.insert(header::RETRY_AFTER, headers::retry_after_value(after));
         }
         response
     }
--- a/crates/gateway/src/callers/activity.rs
+++ b/crates/gateway/src/callers/activity.rs
@@ -68,10 +68,10 @@
         loop {
             let now = Instant::now();
             let limit = match self.phase.get() {
-                Phase::Idle(since) => since + limits.idle_time,
-                Phase::Head(since) => since + limits.head_time,
+                Phase::Idle(since) => since + limits.idle_timeout,
+                Phase::Head(since) => since + limits.header_timeout,
                 // Checked again later.
-                Phase::Busy => now + limits.head_time,
+                Phase::Busy => now + limits.header_timeout,
             };
             if limit <= now {
                 return;
--- a/crates/gateway/src/callers/connection.rs
+++ b/crates/gateway/src/callers/connection.rs
@@ -25,10 +25,10 @@
 
 /// Limits until a configuration is known.
 const DEFAULT_LIMITS: CallerLimits = CallerLimits {
-    head_bytes: 16 << 10,
-    body_bytes: 4 << 20,
-    head_time: Duration::from_secs(3),
-    idle_time: Duration::from_secs(15),
+    max_header_bytes: 16 << 10,
+    max_body_bytes: 4 << 20,
+    header_timeout: Duration::from_secs(3),
+    idle_timeout: Duration::from_secs(15),
 };
 /// Smallest buffer that `hyper` accepts, in bytes.
 const MIN_BUFFER_BYTES: usize = 8 << 10;
@@ -76,7 +76,7 @@
         .auto_date_header(false)
         // A connection accepted during a planned stop carries one request.
         .keep_alive(cx.stopping.get() == Stopping::No)
-        .max_buf_size(limits.head_bytes.max(MIN_BUFFER_BYTES))
+        .max_buf_size(limits.max_header_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(io, service));
     loop {
         tokio::select! {
--- a/crates/gateway/src/control/derived.rs
+++ b/crates/gateway/src/control/derived.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use hollowsail_fleet::{EmptiedHalls, Position};
+use hollowsail_fleet::{EvacuatedHalls, Position};
 use hollowsail_platform::targets::TargetRecord;
 
 use super::Control;
@@ -25,7 +25,7 @@
 pub(super) struct Derived {
     peers: AsOf<Arc<[PeerRecord]>>,
     records: AsOf<Records>,
-    targets: AsOf<(EmptiedHalls, Arc<Targets>)>,
+    targets: AsOf<(EvacuatedHalls, Arc<Targets>)>,
 }
 
 /// The cached value if it is valid for `changes`, else the result of `derive`.
@@ -46,9 +46,9 @@
     /// its lease expires.
     pub(super) fn peers_now(&self) -> Arc<[PeerRecord]> {
         let registry = self.peers.borrow();
-        as_of(&self.derived.peers, registry.changes(), || {
+        as_of(&self.derived.peers, registry.change_count(), || {
             let mut newest: BTreeMap<&str, (Position, &PeerRecord)> = BTreeMap::new();
-            for (at, peer) in registry.usable_at() {
+            for (at, peer) in registry.usable_with_positions() {
                 let known = newest.entry(&peer.host).or_insert((at, peer));
                 if at > known.0 {
                     *known = (at, peer);
@@ -61,10 +61,10 @@
     /// Records that peers may adopt; `None` while the store is unreachable.
     pub(super) fn records_for_peers(&self) -> Option<KnownRecords> {
         let registry = self.registry.borrow();
-        if registry.is_store_away() {
+        if registry.is_store_unreachable() {
             return None;
         }
-        let records = as_of(&self.derived.records, registry.changes(), || {
+        let records = as_of(&self.derived.records, registry.change_count(), || {
             let records = registry.all().map(|(at, record)| (at, record.clone()));
             records.collect()
         });
@@ -73,8 +73,8 @@
     }
 
     /// The targets for a view. While some of them depend on the time, they aren't cached.
-    pub(super) fn targets_now(&self, evacuated: &EmptiedHalls) -> Arc<Targets> {
-        let changes = self.registry.borrow().changes();
+    pub(super) fn targets_now(&self, evacuated: &EvacuatedHalls) -> Arc<Targets> {
+        let changes = self.registry.borrow().change_count();
         let depends_on_time = self.depends_on_time();
         let mut known = self.derived.targets.borrow_mut();
         if let Some((as_of, (halls, targets))) = known.as_ref() {
@@ -84,8 +84,8 @@
         }
         let targets = Arc::new(Targets {
             usable: self.usable_targets(evacuated),
-            leaving: self.draining_targets(),
-            emptied_services: self.evacuated_services(evacuated),
+            draining: self.draining_targets(),
+            evacuated_services: self.evacuated_services(evacuated),
         });
         *known = (!depends_on_time).then(|| (changes, (evacuated.clone(), targets.clone())));
         targets
--- a/crates/gateway/src/control/epoch.rs
+++ b/crates/gateway/src/control/epoch.rs
@@ -1,6 +1,6 @@
 //! Retention of state when the store is restored from an older copy.
 //!
-//! Each response of the store carries its epoch ([`Store::era`]). When a response carries a
+//! Each response of the store carries its epoch ([`Store::epoch`]). When a response carries a
 //! new one, every watch ends and every list is read again. Until and after that:
 //!
 //! | state | written again by | until then | if never written again |
@@ -17,12 +17,12 @@
 //! Requests that may run at most once depend on none of this: the entry that received one
 //! sends it once.
 //!
-//! [`Store::era`]: hollowsail_platform::store::Store::era
+//! [`Store::epoch`]: hollowsail_platform::store::Store::epoch
 
 use std::rc::Rc;
 use std::time::Duration;
 
-use hollowsail_fleet::BookTiming;
+use hollowsail_fleet::RegistryTiming;
 use hollowsail_observe::events;
 use hollowsail_platform::settings::Settings;
 use hollowsail_routing::Millis;
@@ -30,7 +30,7 @@
 
 use super::own_record::LEASE;
 use super::{Control, RECORD_RETURN_MS};
-use crate::feed::Keys;
+use crate::feed::KeyGroup;
 
 /// Number of heartbeats, the first one included, after which a silent target's record
 /// expires.
@@ -43,22 +43,22 @@
 pub const SPREAD: Duration = Duration::from_millis(300);
 
 /// Times after an outage or a new epoch during which target records are unreliable.
-pub fn target_timing(settings: &Settings) -> BookTiming {
-    BookTiming {
+pub fn target_timing(settings: &Settings) -> RegistryTiming {
+    RegistryTiming {
         return_ms: RECORD_RETURN_MS,
         lost_ms: RECORD_RETURN_MS,
-        lapse_ms: settings.heartbeat_ms * HEARTBEATS_TO_EXPIRE,
+        expiry_ms: settings.heartbeat_ms * HEARTBEATS_TO_EXPIRE,
     }
 }
 
 /// The same for entry records. A lost record counts for the length of its lease: the entry
 /// may be cut off from the store while it still serves.
-pub fn entry_timing() -> BookTiming {
+pub fn entry_timing() -> RegistryTiming {
     let lease_ms = LEASE.as_millis() as Millis;
-    BookTiming {
+    RegistryTiming {
         return_ms: RECORD_RETURN_MS,
         lost_ms: lease_ms,
-        lapse_ms: lease_ms,
+        expiry_ms: lease_ms,
     }
 }
 
@@ -72,16 +72,16 @@
     /// Compares the store's epoch with the known one. When a new epoch began, marks all
     /// state as unconfirmed.
     pub(super) fn note_epoch(self: &Rc<Self>) {
-        let newest = self.store.era();
+        let newest = self.store.epoch();
         let known = self.epoch.replace(Some(newest));
         let Some(known) = known.filter(|known| *known != newest) else {
             return;
         };
         let now = self.clock.now();
-        self.registry.borrow_mut().era_began(now);
-        self.peers.borrow_mut().era_began(now);
+        self.registry.borrow_mut().epoch_began(now);
+        self.peers.borrow_mut().epoch_began(now);
         self.feeds
-            .store_back(Duration::from_millis(RECORD_RETURN_MS));
+            .store_reachable(Duration::from_millis(RECORD_RETURN_MS));
         let fields = format_args!(
             "era={newest} before={known} records_at={} halls_at={}",
             self.records_at.get(),
@@ -93,12 +93,12 @@
 
     /// Waits for a random part of [`SPREAD`] if an epoch began that isn't applied yet. The
     /// operators' keys are read at once: the list is short and takes effect soon.
-    pub(super) async fn delay_in_new_epoch(&self, keys: Keys) {
+    pub(super) async fn delay_in_new_epoch(&self, keys: KeyGroup) {
         let is_new = self
             .epoch
             .get()
-            .is_some_and(|epoch| epoch < self.store.era());
-        if is_new && keys != Keys::Operators {
+            .is_some_and(|epoch| epoch < self.store.epoch());
+        if is_new && keys != KeyGroup::Operators {
             random_delay().await;
         }
     }
@@ -111,7 +111,7 @@
             tokio::time::sleep(HALL_RETENTION).await;
             if cx.epoch.get() == Some(epoch) {
                 cx.update_evacuated("not_written_again", |halls| {
-                    !halls.drop_unwritten().is_empty()
+                    !halls.drop_unconfirmed().is_empty()
                 });
             }
         });
--- a/crates/gateway/src/control/evacuated_halls.rs
+++ b/crates/gateway/src/control/evacuated_halls.rs
@@ -1,8 +1,8 @@
 //! The data halls that operators have evacuated, as received from the store or a peer.
 
-use hollowsail_fleet::EmptiedHalls;
+use hollowsail_fleet::EvacuatedHalls;
 use hollowsail_observe::events;
-use hollowsail_platform::operators::emptied_hall;
+use hollowsail_platform::operators::evacuated_hall;
 use hollowsail_platform::store::{Change, Changes, Range};
 
 use super::Control;
@@ -12,7 +12,7 @@
     pub(super) fn apply_evacuated_list(&self, range: &Range) {
         let items = range.items.iter();
         let listed = items.filter_map(|item| {
-            let hall = emptied_hall(&item.key)?;
+            let hall = evacuated_hall(&item.key)?;
             Some((hall.to_string(), item.at))
         });
         let listed = listed.collect();
@@ -26,13 +26,13 @@
             for change in &changes.changes {
                 changed |= apply_change(halls, change);
             }
-            halls.told_until(changes.at);
+            halls.advance_to(changes.at);
             changed
         });
     }
 
     /// Adopts a peer's list if it is newer.
-    pub(super) fn adopt_evacuated(&self, reported: EmptiedHalls) {
+    pub(super) fn adopt_evacuated(&self, reported: EvacuatedHalls) {
         self.update_evacuated("peer", |halls| halls.adopt(reported));
     }
 
@@ -40,7 +40,7 @@
     pub(super) fn update_evacuated(
         &self,
         from: &str,
-        change: impl FnOnce(&mut EmptiedHalls) -> bool,
+        change: impl FnOnce(&mut EvacuatedHalls) -> bool,
     ) {
         let changed = change(&mut self.evacuated.borrow_mut());
         if !changed {
@@ -60,13 +60,13 @@
 }
 
 /// Applies one change. Returns true if the evacuated halls changed.
-fn apply_change(halls: &mut EmptiedHalls, change: &Change) -> bool {
+fn apply_change(halls: &mut EvacuatedHalls, change: &Change) -> bool {
     match change {
         Change::Put(item) => {
-            emptied_hall(&item.key).is_some_and(|hall| halls.emptied(hall, item.at))
+            evacuated_hall(&item.key).is_some_and(|hall| halls.evacuated(hall, item.at))
         }
         Change::Deleted { key, at } => {
-            emptied_hall(key).is_some_and(|hall| halls.taken_back(hall, *at))
+            evacuated_hall(key).is_some_and(|hall| halls.reinstated(hall, *at))
         }
     }
 }
--- a/crates/gateway/src/control/follow.rs
+++ b/crates/gateway/src/control/follow.rs
@@ -16,7 +16,7 @@
 use super::backoff::Backoff;
 use super::source::{Origin, Received};
 use super::Control;
-use crate::feed::Keys;
+use crate::feed::KeyGroup;
 
 /// Longest pause after changes from a store follower, which costs the store nothing and
 /// pauses on its own.
@@ -31,7 +31,7 @@
 
 /// Keys to follow, and the functions that apply their contents.
 pub struct Subscription {
-    pub keys: Keys,
+    pub keys: KeyGroup,
     pub prefix: &'static str,
     /// Allows a stale first read: at startup there is no newer state to overwrite.
     pub allow_stale_start: bool,
@@ -55,7 +55,7 @@
         allow_stale = false;
         match result {
             Ok(()) => {}
-            Err(StoreError::HistoryGone) => cx.delay_in_new_epoch(keys.keys).await,
+            Err(StoreError::HistoryLost) => cx.delay_in_new_epoch(keys.keys).await,
             Err(err) => {
                 cx.store_failed(&err);
                 backoff.pause().await;
@@ -83,7 +83,7 @@
             cx.apply_list(keys, &range)
         }
         ListSource::HallPeer(at) => {
-            cx.feeds.begin(keys.keys, at);
+            cx.feeds.restart_at(keys.keys, at);
             tokio::time::sleep(PAUSE_AFTER_HALL_LIST).await;
             at
         }
@@ -127,9 +127,9 @@
     keys: &Subscription,
     allow_stale: bool,
 ) -> Result<ListSource, StoreError> {
-    let may_query = keys.keys == Keys::Targets;
+    let may_query = keys.keys == KeyGroup::Targets;
     let mut has_queried = false;
-    let mut reading = cx.store.read(keys.prefix, allow_stale);
+    let mut reading = cx.store.read_pages(keys.prefix, allow_stale);
     loop {
         if may_query && !has_queried && cx.may_query_hall() {
             has_queried = true;
@@ -140,7 +140,7 @@
         let items = reading.next_page().await?;
         cx.note_epoch();
         (keys.on_page)(cx, items);
-        if reading.is_whole() {
+        if reading.is_complete() {
             return Ok(ListSource::Store(reading.into_range()));
         }
         cx.is_list_long.set(true);
@@ -152,15 +152,15 @@
     fn apply_list(self: &Rc<Self>, keys: &Subscription, range: &Range) -> Position {
         (keys.on_list)(self, range);
         match keys.keys {
-            Keys::Targets => self.feeds.begin(keys.keys, range.at),
-            Keys::Operators | Keys::Entries => self.feeds.begin_with(keys.keys, range),
+            KeyGroup::Targets => self.feeds.restart_at(keys.keys, range.at),
+            KeyGroup::Operators | KeyGroup::Entries => self.feeds.restart_with(keys.keys, range),
         }
         range.at
     }
 
     /// Waits until the store is reachable.
     async fn until_store_reachable(&self) {
-        while self.registry.borrow().is_store_away() {
+        while self.registry.borrow().is_store_unreachable() {
             self.store_regained.notified().await;
         }
     }
--- a/crates/gateway/src/control/hall_records.rs
+++ b/crates/gateway/src/control/hall_records.rs
@@ -16,7 +16,7 @@
 use super::query;
 use super::source::candidates;
 use super::Control;
-use crate::peers::{PeerRecord, RecordsAsk, RecordsAt, RECORDS_PATH};
+use crate::peers::{PeerRecord, RecordsRequest, RecordsSnapshot, RECORDS_PATH};
 
 /// Time after the first list of entries from which the store followers count as known, in
 /// milliseconds. In a fleet that starts together, the first list holds only the entries
@@ -36,7 +36,7 @@
         let search = async {
             loop {
                 let peer = self.choose_list_peer()?;
-                let request = RecordsAsk {
+                let request = RecordsRequest {
                     after: self.records_at.get(),
                 };
                 let pool = self.pool_of(peer.addr);
@@ -57,7 +57,11 @@
         })
     }
 
-    fn apply_hall_records(self: &Rc<Self>, from: &PeerRecord, records: RecordsAt) -> Position {
+    fn apply_hall_records(
+        self: &Rc<Self>,
+        from: &PeerRecord,
+        records: RecordsSnapshot,
+    ) -> Position {
         let at = records.at;
         let fields = format_args!(
             "from={} targets={} at={at} before={}",
--- a/crates/gateway/src/control/membership.rs
+++ b/crates/gateway/src/control/membership.rs
@@ -3,14 +3,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hollowsail_fleet::{Position, Told};
+use hollowsail_fleet::{Position, RecordMeta};
 use hollowsail_observe::events;
 use hollowsail_platform::store::{Change, Changes, Item, Range};
 
 use super::follow::Subscription;
 use super::source::Origin;
 use super::Control;
-use crate::feed::Keys;
+use crate::feed::KeyGroup;
 use crate::peers::{PeerRecord, PREFIX};
 
 /// Longest pause between two watches per live entry, so that the fleet's calls to the store
@@ -26,7 +26,7 @@
 
 /// Follows the keys that entries write.
 pub const SUBSCRIPTION: Subscription = Subscription {
-    keys: Keys::Entries,
+    keys: KeyGroup::Entries,
     prefix: ENTRIES_PREFIX,
     allow_stale_start: true,
     probes: false,
@@ -46,10 +46,10 @@
 
 /// Metadata of a live entry's record. Each key belongs to one run, so there is no
 /// incarnation.
-fn live_metadata(at: Position) -> Told {
-    Told {
+fn live_metadata(at: Position) -> RecordMeta {
+    RecordMeta {
         at,
-        start: 0,
+        incarnation: 0,
         draining: false,
     }
 }
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -33,7 +33,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hollowsail_fleet::{ColdSpells, EmptiedHalls, Newest, Position, TargetBook};
+use hollowsail_fleet::{EvacuatedHalls, Newest, Position, TargetRegistry, WarmUps};
 use hollowsail_observe::events;
 use hollowsail_platform::settings::Settings;
 use hollowsail_platform::store::{Lease, Store, StoreError};
@@ -47,12 +47,12 @@
 use self::pauses::WatchPauses;
 use self::source::Followers;
 use crate::clock::Clock;
-use crate::crashes::{Refused, ToStore};
+use crate::crashes::{RefusalReceiver, RefusedRequests};
 use crate::feed::Feeds;
 use crate::log::Log;
 use crate::metrics;
 use crate::peers::PeerRecord;
-use crate::rollouts::{Orders, Records, ToRecord};
+use crate::rollouts::{Orders, PhaseReceiver, PhaseRecords};
 use crate::view::{Published, View};
 
 /// Time after the store is reachable again within which a record may reappear, in
@@ -66,13 +66,13 @@
     published: Arc<Published>,
     configuration: RefCell<Newest<Configuration>>,
     /// Evacuated halls: their targets get no new work.
-    evacuated: RefCell<EmptiedHalls>,
-    registry: RefCell<TargetBook<Arc<TargetRecord>>>,
-    warm_ups: RefCell<ColdSpells>,
+    evacuated: RefCell<EvacuatedHalls>,
+    registry: RefCell<TargetRegistry<Arc<TargetRecord>>>,
+    warm_ups: RefCell<WarmUps>,
     new_versions: RefCell<NewVersions>,
     orders: RefCell<Orders>,
     /// Phases that roll-out leaders wrote to the store.
-    rollout_records: RefCell<Records>,
+    rollout_records: RefCell<PhaseRecords>,
     /// Store position up to which the target registry is current.
     records_at: Cell<Position>,
     /// The list of targets exceeds one page of the store.
@@ -92,9 +92,9 @@
     seeds: Vec<SocketAddr>,
     /// This entry's record.
     me: PeerRecord,
-    peers: RefCell<TargetBook<PeerRecord>>,
+    peers: RefCell<TargetRegistry<PeerRecord>>,
     /// Requests that the store or a peer lists as refused.
-    refused: RefCell<Refused>,
+    refused: RefCell<RefusedRequests>,
     /// Minimum lease that the store grants.
     min_lease: Duration,
     /// Lease of this entry's record, while it is registered.
@@ -121,7 +121,7 @@
             published,
             configuration: RefCell::default(),
             evacuated: RefCell::default(),
-            registry: RefCell::new(TargetBook::new(epoch::target_timing(settings))),
+            registry: RefCell::new(TargetRegistry::new(epoch::target_timing(settings))),
             warm_ups: RefCell::default(),
             new_versions: RefCell::new(NewVersions::new(&settings.bounds)),
             orders: RefCell::default(),
@@ -137,7 +137,7 @@
             followers: Followers::default(),
             seeds: settings.seeds.clone(),
             me,
-            peers: RefCell::new(TargetBook::new(epoch::entry_timing())),
+            peers: RefCell::new(TargetRegistry::new(epoch::entry_timing())),
             refused: RefCell::default(),
             min_lease: Duration::from_millis(settings.store.shortest_lease_ms),
             lease: Cell::new(None),
@@ -148,7 +148,7 @@
     }
 
     /// Starts the control loops on this thread.
-    pub fn spawn(self: &Rc<Self>, refused: ToStore, to_record: ToRecord) {
+    pub fn spawn(self: &Rc<Self>, refused: RefusalReceiver, to_record: PhaseReceiver) {
         actix_rt::spawn(follow::follow(self.clone(), operators::SUBSCRIPTION));
         actix_rt::spawn(follow::follow(self.clone(), records::SUBSCRIPTION));
         actix_rt::spawn(own_record::maintain(self.clone()));
@@ -163,15 +163,15 @@
         let number = self.view_number.get() + 1;
         self.view_number.set(number);
         let configuration = self.configuration.borrow().get().cloned();
-        let emptied = self.evacuated.borrow().clone();
+        let evacuated = self.evacuated.borrow().clone();
         self.update_warm_ups();
         let (deployment, source) = configuration.map(|c| (c.deployment, c.source)).unzip();
         self.published.publish(View {
             number,
             deployment,
             source,
-            targets: self.targets_now(&emptied),
-            emptied,
+            targets: self.targets_now(&evacuated),
+            evacuated,
             records: self.records_for_peers(),
             peers: self.peers_now(),
             refused: self.refused.borrow().clone(),
@@ -185,12 +185,12 @@
         if !err.shows_outage() {
             return;
         }
-        self.peers.borrow_mut().store_away();
-        self.feeds.store_away();
-        if self.registry.borrow_mut().store_away() {
+        self.peers.borrow_mut().store_unreachable();
+        self.feeds.store_unreachable();
+        if self.registry.borrow_mut().store_unreachable() {
             self.log
                 .line(events::STORE_LOST, format_args!("why=\"{err}\""));
-            metrics::count_store_lost();
+            metrics::count_store_outage();
             self.store_lost.notify_waiters();
             self.publish();
         }
@@ -199,11 +199,11 @@
     /// Handles a successful call to the store; the end of an outage is logged and
     /// published.
     fn store_answered(&self) {
-        self.peers.borrow_mut().store_back(self.clock.now());
-        if self.registry.borrow_mut().store_back(self.clock.now()) {
+        self.peers.borrow_mut().store_reachable(self.clock.now());
+        if self.registry.borrow_mut().store_reachable(self.clock.now()) {
             self.log.line(events::STORE_BACK, format_args!(""));
             self.feeds
-                .store_back(Duration::from_millis(RECORD_RETURN_MS));
+                .store_reachable(Duration::from_millis(RECORD_RETURN_MS));
             self.store_regained.notify_waiters();
             self.publish();
         }
--- a/crates/gateway/src/control/operators.rs
+++ b/crates/gateway/src/control/operators.rs
@@ -13,11 +13,11 @@
 
 use super::follow::Subscription;
 use super::Control;
-use crate::feed::Keys;
+use crate::feed::KeyGroup;
 
 /// Follows the operators' keys.
 pub const SUBSCRIPTION: Subscription = Subscription {
-    keys: Keys::Operators,
+    keys: KeyGroup::Operators,
     prefix: PREFIX,
     allow_stale_start: false,
     probes: true,
--- a/crates/gateway/src/control/own_record.rs
+++ b/crates/gateway/src/control/own_record.rs
@@ -39,13 +39,13 @@
     while !cx.is_stopping.get() {
         if let Err(err) = maintain_once(&cx, &mut backoff).await {
             let lease = cx.lease.take();
-            cx.feeds.set_silent(true);
+            cx.feeds.set_store_silent(true);
             cx.store_failed(&err);
             cx.log.line(
                 events::MEMBER,
                 format_args!("state=unrecorded why=\"{err}\""),
             );
-            let is_epoch_over = lease.is_some_and(|lease| lease.era() < cx.store.era());
+            let is_epoch_over = lease.is_some_and(|lease| lease.epoch() < cx.store.epoch());
             if !is_epoch_over {
                 backoff.pause().await;
             }
@@ -65,19 +65,19 @@
     }
     cx.note_epoch();
     cx.lease.set(Some(lease));
-    cx.feeds.set_silent(false);
+    cx.feeds.set_store_silent(false);
     backoff.reset();
     if cx.is_stopping.get() {
         // The stop began before the lease was known.
-        cx.leave().await;
+        cx.deregister().await;
     }
     while !cx.is_stopping.get() {
         tokio::select! {
             () = wait_for_renewal(cx) => renew(cx, lease).await?,
-            () = cx.store.later_era(lease.era()) => {
+            () = cx.store.wait_for_later_epoch(lease.epoch()) => {
                 // Other entries learned of the new epoch at the same time.
                 epoch::random_delay().await;
-                return Err(StoreError::LeaseOver);
+                return Err(StoreError::LeaseExpired);
             }
         }
     }
@@ -93,7 +93,7 @@
 
 /// Waits until the next renewal is due, or until other entries begin to rely on this one.
 async fn wait_for_renewal(cx: &Control) {
-    let interval = match cx.store.era() {
+    let interval = match cx.store.epoch() {
         0 => (RENEW_INTERVAL_PER_ENTRY * cx.peers_now().len() as u32)
             .clamp(RENEW_INTERVAL, MAX_RENEW_INTERVAL),
         _ => RENEW_INTERVAL_WITH_EPOCHS,
@@ -102,7 +102,7 @@
     while waited < interval {
         tokio::time::sleep(RENEW_INTERVAL_FOR_OTHERS).await;
         waited += RENEW_INTERVAL_FOR_OTHERS;
-        if cx.feeds.is_read() {
+        if cx.feeds.is_followed() {
             return;
         }
     }
@@ -115,11 +115,11 @@
     let renewed = match tokio::time::timeout(ANSWER_TIMEOUT, renewing.as_mut()).await {
         Ok(renewed) => renewed,
         Err(_) => {
-            cx.feeds.set_silent(true);
+            cx.feeds.set_store_silent(true);
             renewing.await
         }
     };
-    cx.feeds.set_silent(renewed.is_err());
+    cx.feeds.set_store_silent(renewed.is_err());
     renewed
 }
 
@@ -127,7 +127,7 @@
 /// that.
 async fn renew(cx: &Control, lease: Lease) -> Result<(), StoreError> {
     match renew_in_time(cx, lease).await {
-        Err(StoreError::LeaseOver) => Err(StoreError::LeaseOver),
+        Err(StoreError::LeaseExpired) => Err(StoreError::LeaseExpired),
         Err(err) => {
             cx.store_failed(&err);
             Ok(())
@@ -141,10 +141,10 @@
 
 impl Control {
     /// Removes this entry's record, so that peers stop using it at once.
-    pub async fn leave(&self) {
+    pub async fn deregister(&self) {
         self.is_stopping.set(true);
         // Entries that follow the store through this one switch at once.
-        self.feeds.store_away();
+        self.feeds.store_unreachable();
         let Some(lease) = self.lease.take() else {
             return;
         };
--- a/crates/gateway/src/control/pauses.rs
+++ b/crates/gateway/src/control/pauses.rs
@@ -3,7 +3,7 @@
 use std::cell::RefCell;
 use std::time::Duration;
 
-use hollowsail_fleet::TargetBook;
+use hollowsail_fleet::TargetRegistry;
 use hollowsail_platform::settings::Bounds;
 
 use super::source::FOLLOWER_WAIT_SHARE;
@@ -40,7 +40,7 @@
     /// records which arrive together are applied soon.
     pub(super) fn watch_pause<R: PartialEq>(
         &self,
-        registry: &RefCell<TargetBook<R>>,
+        registry: &RefCell<TargetRegistry<R>>,
         longest: Duration,
     ) -> Duration {
         let longest_ms = longest.as_millis() as u64;
--- a/crates/gateway/src/control/peer_state.rs
+++ b/crates/gateway/src/control/peer_state.rs
@@ -13,7 +13,7 @@
 
 use super::query::{self, QueryError};
 use super::Control;
-use crate::peers::{StateAnswer, StateAsk, STATE_PATH};
+use crate::peers::{StateRequest, StateResponse, STATE_PATH};
 
 /// Interval between rounds: a configuration must be in force within seconds at a host that
 /// the store refuses.
@@ -26,7 +26,7 @@
 /// Queries peers whenever the store is unreachable, until the thread ends.
 pub async fn follow(cx: Rc<Control>) {
     loop {
-        if !cx.registry.borrow().is_store_away() {
+        if !cx.registry.borrow().is_store_unreachable() {
             cx.store_lost.notified().await;
         }
         for addr in choose_peers(&cx) {
@@ -54,13 +54,13 @@
         .collect()
 }
 
-async fn query_peer(cx: &Control, addr: SocketAddr) -> Result<StateAnswer, QueryError> {
+async fn query_peer(cx: &Control, addr: SocketAddr) -> Result<StateResponse, QueryError> {
     let rules = PoolRules {
-        dial_within: ANSWER_TIMEOUT,
+        dial_timeout: ANSWER_TIMEOUT,
         max_idle: 0,
-        idle_for: Duration::ZERO,
+        idle_timeout: Duration::ZERO,
     };
-    let request = StateAsk {
+    let request = StateRequest {
         configuration: cx.configuration_version(),
         records: cx.records_at.get(),
         emptied: cx.evacuated.borrow().as_of(),
@@ -76,7 +76,7 @@
 
 impl Control {
     /// Applies the state that a peer returned.
-    fn apply_state(self: &Rc<Self>, answer: StateAnswer) {
+    fn apply_state(self: &Rc<Self>, answer: StateResponse) {
         if let Some(emptied) = answer.emptied {
             self.adopt_evacuated(emptied);
         }
--- a/crates/gateway/src/control/records.rs
+++ b/crates/gateway/src/control/records.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use hollowsail_fleet::{Position, Told};
+use hollowsail_fleet::{Position, RecordMeta};
 use hollowsail_observe::events;
 use hollowsail_platform::store::{Change, Changes, Item, Range};
 use hollowsail_platform::targets::{self, Incarnation, TargetRecord, PREFIX};
@@ -11,15 +11,15 @@
 use super::follow::Subscription;
 use super::source::Origin;
 use super::Control;
-use crate::feed::Keys;
-use crate::peers::{RecordAt, RecordsAt};
+use crate::feed::KeyGroup;
+use crate::peers::{PositionedRecord, RecordsSnapshot};
 
 /// Batch size from which changed records are logged as one summary line.
 const SUMMARY_THRESHOLD: usize = 200;
 
 /// Follows the targets' records.
 pub const SUBSCRIPTION: Subscription = Subscription {
-    keys: Keys::Targets,
+    keys: KeyGroup::Targets,
     prefix: PREFIX,
     allow_stale_start: true,
     probes: false,
@@ -117,7 +117,7 @@
     /// Applies one record. Returns true if the registry changed. A malformed record takes
     /// its target out of use, whichever process wrote it.
     fn apply_record(self: &Rc<Self>, item: &Item, batch_size: usize) -> bool {
-        let Some(id) = targets::id_of(&item.key) else {
+        let Some(id) = targets::target_id(&item.key) else {
             return false;
         };
         match targets::decode(id, &item.value) {
@@ -130,7 +130,7 @@
                     item.value.len()
                 );
                 self.log.line(events::RECORD_UNREADABLE, fields);
-                let gone = self.registry.borrow_mut().spoiled(id, item.at);
+                let gone = self.registry.borrow_mut().mark_malformed(id, item.at);
                 if gone {
                     self.log_gone(&[id.to_string()], "record_unreadable");
                 }
@@ -140,7 +140,7 @@
     }
 
     /// Adopts all records from a peer that follows the store.
-    pub(super) fn adopt_records(self: &Rc<Self>, listed: RecordsAt) {
+    pub(super) fn adopt_records(self: &Rc<Self>, listed: RecordsSnapshot) {
         let present: Vec<String> = listed
             .records
             .iter()
@@ -148,7 +148,7 @@
             .collect();
         let batch_size = listed.records.len();
         let mut changed = false;
-        for RecordAt { at, record } in listed.records {
+        for PositionedRecord { at, record } in listed.records {
             changed |= self.put_record(record, at, batch_size);
         }
         let present: Vec<&str> = present.iter().map(String::as_str).collect();
@@ -165,18 +165,18 @@
     fn put_record(self: &Rc<Self>, record: TargetRecord, at: Position, batch_size: usize) -> bool {
         self.note_version(&record);
         let record = Arc::new(record);
-        let Incarnation { id, born } = &record.incarnation;
+        let Incarnation { id, started } = &record.incarnation;
         let draining = record.draining;
-        let metadata = Told {
+        let metadata = RecordMeta {
             at,
-            start: *born,
+            incarnation: *started,
             draining,
         };
         let mut registry = self.registry.borrow_mut();
         let changed = registry.put(id, metadata, record.clone());
         if changed && batch_size < SUMMARY_THRESHOLD {
             let fields = format_args!(
-                "target={id} born={born} service={} addr={} hall={} draining={draining} at={at}",
+                "target={id} born={started} service={} addr={} hall={} draining={draining} at={at}",
                 record.service, record.addr, record.hall
             );
             self.log.line(events::TARGET_RECORD, fields);
--- a/crates/gateway/src/control/refusals.rs
+++ b/crates/gateway/src/control/refusals.rs
@@ -6,10 +6,10 @@
 
 use std::rc::Rc;
 
-use hollowsail_clock::Moment;
+use hollowsail_clock::BootInstant;
 use hollowsail_observe::events;
 use hollowsail_platform::store::{Change, Item, StoreError};
-use hollowsail_routing::crash_ledger::MOST_REFUSED_MS;
+use hollowsail_routing::crash_ledger::MAX_REFUSAL_MS;
 use hollowsail_routing::{Millis, RequestDigest};
 use serde::{Deserialize, Serialize};
 
@@ -17,7 +17,7 @@
 use super::epoch;
 use super::source::Origin;
 use super::Control;
-use crate::crashes::{NewRefusal, ToStore, PREFIX};
+use crate::crashes::{NewRefusal, RefusalReceiver, PREFIX};
 
 /// Attempts at writing a refusal, after which only the running entries know it.
 const MAX_TRIES: u32 = 5;
@@ -32,29 +32,29 @@
 /// A refusal written by this entry, and when it ends.
 struct Written {
     request: RequestDigest,
-    until: Moment,
+    until: BootInstant,
 }
 
 /// Writes refusals to the store as traffic decides them, and again when the store was
 /// restored from an older copy.
-pub async fn persist(cx: Rc<Control>, mut decided: ToStore) {
+pub async fn persist(cx: Rc<Control>, mut decided: RefusalReceiver) {
     let mut written: Vec<Written> = Vec::new();
-    let mut epoch = cx.store.era();
+    let mut epoch = cx.store.epoch();
     loop {
         tokio::select! {
             refusal = decided.recv() => {
                 let Some(refusal) = refusal else { return };
                 write_with_retries(&cx, refusal).await;
                 written.retain(|known| known.request != refusal.request);
-                let until = Moment::now() + refusal.lasts;
+                let until = BootInstant::now() + refusal.lasts;
                 written.push(Written { request: refusal.request, until });
             }
-            () = cx.store.later_era(epoch) => {
-                epoch = cx.store.era();
+            () = cx.store.wait_for_later_epoch(epoch) => {
+                epoch = cx.store.epoch();
                 epoch::random_delay().await;
-                written.retain(|known| Moment::now() < known.until);
+                written.retain(|known| BootInstant::now() < known.until);
                 for known in &written {
-                    let lasts = known.until.saturating_since(Moment::now());
+                    let lasts = known.until.saturating_since(BootInstant::now());
                     write_with_retries(&cx, NewRefusal { request: known.request, lasts }).await;
                 }
             }
@@ -148,7 +148,7 @@
 
     /// Records a refused request. Returns true if it is new.
     fn insert_refusal(&self, request: RequestDigest, for_ms: Millis) -> bool {
-        let until = self.clock.now() + for_ms.min(MOST_REFUSED_MS);
+        let until = self.clock.now() + for_ms.min(MAX_REFUSAL_MS);
         let mut refused = self.refused.borrow_mut();
         let is_new = !refused.contains_key(&request);
         refused.entry(request).or_insert(until);
--- a/crates/gateway/src/control/rollouts.rs
+++ b/crates/gateway/src/control/rollouts.rs
@@ -14,13 +14,13 @@
 
 use super::backoff::Backoff;
 use super::Control;
-use crate::rollouts::{Orders, PlacedOrder, RecordPhase, RecordedPhase, ToRecord, PREFIX};
+use crate::rollouts::{Orders, PhaseReceiver, PlacedOrder, RecordPhase, RecordedPhase, PREFIX};
 
 /// Attempts at writing a phase; after that the leader has to request it again.
 const MAX_TRIES: u32 = 4;
 
 /// Writes phases to the store as leaders decide them.
-pub async fn persist(cx: Rc<Control>, mut decided: ToRecord) {
+pub async fn persist(cx: Rc<Control>, mut decided: PhaseReceiver) {
     while let Some(RecordPhase {
         placed,
         phase,
@@ -66,7 +66,7 @@
     let status = encode_rollout_status(&placed.order, state_of(phase));
     let puts: [(&str, &[u8]); 2] = [(&key, &record), (&status_key, &status)];
     let expected = current.map(|item| item.at);
-    cx.store.put_together(expected, &puts).await?;
+    cx.store.put_all(expected, &puts).await?;
     Ok(phase)
 }
 
--- a/crates/gateway/src/control/settle.rs
+++ b/crates/gateway/src/control/settle.rs
@@ -3,19 +3,19 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use hollowsail_fleet::TargetBook;
+use hollowsail_fleet::TargetRegistry;
 
 use super::source::Origin;
 use super::Control;
 
 /// Accessor of one registry of the control thread.
-type RegistryOf<R> = fn(&Control) -> &RefCell<TargetBook<R>>;
+type RegistryOf<R> = fn(&Control) -> &RefCell<TargetRegistry<R>>;
 
 impl Control {
     /// True if a deleted record may reappear, according to the origin of the change.
     pub(super) fn is_unsettled<R: PartialEq>(
         &self,
-        registry: &RefCell<TargetBook<R>>,
+        registry: &RefCell<TargetRegistry<R>>,
         origin: Origin,
     ) -> bool {
         match origin {
@@ -29,8 +29,8 @@
     pub(super) fn note_follower_outage(&self, origin: Origin) {
         if origin == (Origin::Follower { is_unsettled: true }) {
             let now = self.clock.now();
-            self.registry.borrow_mut().told_of_outage(now);
-            self.peers.borrow_mut().told_of_outage(now);
+            self.registry.borrow_mut().outage_reported(now);
+            self.peers.borrow_mut().outage_reported(now);
         }
     }
 
@@ -58,7 +58,7 @@
             tokio::time::sleep_until(cx.clock.timer(due).into()).await;
             let now = cx.clock.now();
             let gone = registry(&cx).borrow_mut().settle(now);
-            let is_changed = registry(&cx).borrow_mut().take_outlived(now);
+            let is_changed = registry(&cx).borrow_mut().promote_outlived(now);
             if !gone.is_empty() {
                 report_gone(&cx, &gone);
             }
--- a/crates/gateway/src/control/source.rs
+++ b/crates/gateway/src/control/source.rs
@@ -14,14 +14,14 @@
 
 use hollowsail_connect::{Pool, PoolRules};
 use hollowsail_fleet::ownership::Candidate;
-use hollowsail_fleet::{readers, Position};
+use hollowsail_fleet::{store_followers, Position};
 use hollowsail_observe::events;
 use hollowsail_platform::store::{Changes, Range, StoreError};
 use hollowsail_routing::Millis;
 
 use super::query::{self, QueryError};
 use super::Control;
-use crate::feed::{FeedAnswer, FeedAsk, Keys, FEED_PATH};
+use crate::feed::{FeedRequest, FeedResponse, KeyGroup, FEED_PATH};
 use crate::peers::PeerRecord;
 
 /// Wait of a watch in a hall where all entries follow the store: long, as each watch has a
@@ -83,7 +83,7 @@
     skipped_until: RefCell<HashMap<String, Millis>>,
     /// Query counters by keys, for taking followers in turn. With a single counter, queries
     /// for some keys could always reach the same follower.
-    turns: [Cell<usize>; Keys::COUNT],
+    turns: [Cell<usize>; KeyGroup::COUNT],
 }
 
 impl Control {
@@ -91,19 +91,19 @@
     /// position's epoch has ended.
     pub(super) async fn next_changes(
         &self,
-        keys: Keys,
+        keys: KeyGroup,
         prefix: &str,
         after: Position,
     ) -> Result<(Received, Origin), StoreError> {
         tokio::select! {
             changes = self.changes_from_any_source(keys, prefix, after) => changes,
-            () = self.store.later_era(after.era) => Err(StoreError::HistoryGone),
+            () = self.store.wait_for_later_epoch(after.epoch) => Err(StoreError::HistoryLost),
         }
     }
 
     async fn changes_from_any_source(
         &self,
-        keys: Keys,
+        keys: KeyGroup,
         prefix: &str,
         after: Position,
     ) -> Result<(Received, Origin), StoreError> {
@@ -111,13 +111,13 @@
             let follower = match self.source(keys) {
                 Source::Follower(follower) => follower,
                 Source::Store { wait, for_others } => {
-                    self.feeds.set_read(keys, for_others);
+                    self.feeds.set_followed(keys, for_others);
                     return self.watch_store(prefix, after, wait).await;
                 }
             };
-            self.feeds.set_read(keys, false);
+            self.feeds.set_followed(keys, false);
             match self.query_follower(&follower, keys, after).await {
-                Ok(FeedAnswer::Changed {
+                Ok(FeedResponse::Changed {
                     changes,
                     is_unsettled,
                 }) => {
@@ -126,20 +126,20 @@
                         Origin::Follower { is_unsettled },
                     ))
                 }
-                Ok(FeedAnswer::Whole {
+                Ok(FeedResponse::Whole {
                     range,
                     is_unsettled,
                 }) => return Ok((Received::List(range), Origin::Follower { is_unsettled })),
-                Ok(FeedAnswer::NothingNew) => {}
-                Ok(FeedAnswer::Unknown) => {
+                Ok(FeedResponse::NothingNew) => {}
+                Ok(FeedResponse::Unknown) => {
                     self.is_list_long
-                        .set(keys == Keys::Targets || self.is_list_long.get());
-                    if keys == Keys::Targets && self.may_query_hall() {
-                        return Err(StoreError::HistoryGone);
+                        .set(keys == KeyGroup::Targets || self.is_list_long.get());
+                    if keys == KeyGroup::Targets && self.may_query_hall() {
+                        return Err(StoreError::HistoryLost);
                     }
                     return self.watch_store(prefix, after, STARTUP_WATCH_WAIT).await;
                 }
-                Ok(FeedAnswer::NotReading) => {
+                Ok(FeedResponse::NotReading) => {
                     self.skip(
                         &follower,
                         NOT_FOLLOWING_SKIP_MS,
@@ -164,7 +164,7 @@
     }
 
     /// Chooses the source of the next changes.
-    fn source(&self, keys: Keys) -> Source {
+    fn source(&self, keys: KeyGroup) -> Source {
         let peers = self.peers_now();
         let hall = self.hall_of(&peers);
         if self.clock.now() < STARTUP_MS && hall.len() < ENOUGH_ENTRIES {
@@ -184,8 +184,8 @@
             Some(follower) => Source::Follower(follower.clone()),
             None => Source::Store {
                 wait: match keys {
-                    Keys::Operators | Keys::Targets => self.pauses.follower_wait,
-                    Keys::Entries => UNSHARED_WATCH_WAIT,
+                    KeyGroup::Operators | KeyGroup::Targets => self.pauses.follower_wait,
+                    KeyGroup::Entries => UNSHARED_WATCH_WAIT,
                 },
                 for_others: is_follower,
             },
@@ -200,14 +200,14 @@
 
     /// The hall's store followers; `None` if all its entries follow the store.
     pub(super) fn followers_of<'a>(&self, hall: &[&'a PeerRecord]) -> Option<Vec<&'a PeerRecord>> {
-        let chosen = readers::choose(&self.me.hall, candidates(hall))?;
+        let chosen = store_followers::choose(&self.me.hall, candidates(hall))?;
         Some(chosen.into_iter().map(|index| hall[index]).collect())
     }
 
     /// The next follower in turn that isn't skipped.
     fn next_follower<'a>(
         &self,
-        keys: Keys,
+        keys: KeyGroup,
         followers: &[&'a PeerRecord],
     ) -> Option<&'a PeerRecord> {
         let now = self.clock.now();
@@ -235,14 +235,14 @@
     async fn query_follower(
         &self,
         follower: &PeerRecord,
-        keys: Keys,
+        keys: KeyGroup,
         after: Position,
-    ) -> Result<FeedAnswer, QueryError> {
+    ) -> Result<FeedResponse, QueryError> {
         let wait = match keys {
-            Keys::Operators | Keys::Targets => FEED_WAIT,
-            Keys::Entries => ENTRIES_FEED_WAIT,
+            KeyGroup::Operators | KeyGroup::Targets => FEED_WAIT,
+            KeyGroup::Entries => ENTRIES_FEED_WAIT,
         };
-        let request = FeedAsk {
+        let request = FeedRequest {
             keys,
             after,
             wait_ms: wait.as_millis() as u64,
@@ -253,9 +253,9 @@
 
     pub(super) fn pool_of(&self, addr: SocketAddr) -> Rc<Pool> {
         let rules = PoolRules {
-            dial_within: DIAL_TIMEOUT,
+            dial_timeout: DIAL_TIMEOUT,
             max_idle: 3,
-            idle_for: Duration::from_secs(20),
+            idle_timeout: Duration::from_secs(20),
         };
         let mut pools = self.followers.pools.borrow_mut();
         pools
@@ -272,6 +272,6 @@
     hall.iter().map(|peer| Candidate {
         host: &peer.host,
         capacity: peer.capacity,
-        is_slow: false,
+        is_lagging: false,
     })
 }
--- a/crates/gateway/src/control/usable.rs
+++ b/crates/gateway/src/control/usable.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use hollowsail_fleet::{ColdRecord, EmptiedHalls};
+use hollowsail_fleet::{EvacuatedHalls, WarmUpRecord};
 use hollowsail_platform::targets::Incarnation;
 use hollowsail_targets::UsableTarget;
 
@@ -10,7 +10,7 @@
 
 impl Control {
     /// Targets that may get new work: usable, in no evacuated hall, and of no held version.
-    pub(super) fn usable_targets(&self, evacuated: &EmptiedHalls) -> Vec<UsableTarget> {
+    pub(super) fn usable_targets(&self, evacuated: &EvacuatedHalls) -> Vec<UsableTarget> {
         let registry = self.registry.borrow();
         let warm_ups = self.warm_ups.borrow();
         let new_versions = self.new_versions.borrow();
@@ -20,7 +20,7 @@
             .filter(|target| !evacuated.contains(&target.hall))
             .filter(|target| !held.contains(&target.service, &target.version));
         let targets = eligible.map(|record| UsableTarget {
-            cold_until: warm_ups.until(&record.incarnation.id),
+            warm_up_until: warm_ups.until(&record.incarnation.id),
             record: record.clone(),
         });
         targets.collect()
@@ -44,18 +44,18 @@
     pub(super) fn update_warm_ups(&self) {
         let registry = self.registry.borrow();
         let warming_up = registry.all().filter(|(_, record)| record.cold_ms > 0);
-        let warming_up = warming_up.map(|(at, record)| ColdRecord {
+        let warming_up = warming_up.map(|(at, record)| WarmUpRecord {
             incarnation: &record.incarnation.id,
             at,
-            cold_ms: record.cold_ms,
+            remaining_ms: record.cold_ms,
         });
         self.warm_ups
             .borrow_mut()
-            .take(self.clock.now(), warming_up);
+            .replace(self.clock.now(), warming_up);
     }
 
     /// Services whose usable targets are all in evacuated halls.
-    pub(super) fn evacuated_services(&self, evacuated: &EmptiedHalls) -> BTreeSet<String> {
+    pub(super) fn evacuated_services(&self, evacuated: &EvacuatedHalls) -> BTreeSet<String> {
         let registry = self.registry.borrow();
         let services = |is_inside: bool| -> BTreeSet<&str> {
             let targets = registry.usable();
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -13,10 +13,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hollowsail_clock::Moment;
+use hollowsail_clock::BootInstant;
 use hollowsail_observe::{events, ErrorKind};
-use hollowsail_routing::crash_ledger::{CRASHES_TO_REFUSE, CRASHES_TO_SET_APART};
-use hollowsail_routing::{CrashLedger, CrashedRun, Millis, RequestDigest, Standing};
+use hollowsail_routing::crash_ledger::{CRASHES_TO_ISOLATE, CRASHES_TO_REFUSE};
+use hollowsail_routing::{CrashLedger, CrashVerdict, CrashedRun, Millis, RequestDigest};
 use tokio::sync::mpsc;
 
 use crate::answer::Refusal;
@@ -30,7 +30,7 @@
 const MAX_PENDING_REFUSALS: usize = 64;
 
 /// Refused requests, and the end of each refusal in milliseconds since the start.
-pub type Refused = BTreeMap<RequestDigest, Millis>;
+pub type RefusedRequests = BTreeMap<RequestDigest, Millis>;
 
 /// Verdicts on requests that crash targets.
 pub struct Crashes {
@@ -41,20 +41,20 @@
 
 /// A run that was interrupted by a crash of its target.
 #[derive(Debug, Clone, Copy)]
-pub struct BrokenRun {
+pub struct InterruptedRun {
     /// Time of the send to the target.
-    pub sent: Moment,
+    pub sent: BootInstant,
     /// Time at which the response was interrupted.
-    pub ended: Moment,
+    pub interrupted: BootInstant,
 }
 
-impl BrokenRun {
+impl InterruptedRun {
     /// The run as reported to peers; `was_suspect` when the request was suspected already.
     fn report(&self, was_suspect: bool) -> CrashedRunReport {
         CrashedRunReport {
             was_suspect,
             sent_ms: self.sent.elapsed().as_millis() as Millis,
-            ended_ms: self.ended.elapsed().as_millis() as Millis,
+            ended_ms: self.interrupted.elapsed().as_millis() as Millis,
         }
     }
 }
@@ -68,11 +68,11 @@
 }
 
 /// Receives the refusals that the control thread writes to the store.
-pub type ToStore = mpsc::Receiver<NewRefusal>;
+pub type RefusalReceiver = mpsc::Receiver<NewRefusal>;
 
 impl Crashes {
     /// Creates the state, with the receiver for the control thread.
-    pub fn new() -> (Self, ToStore) {
+    pub fn new() -> (Self, RefusalReceiver) {
         let (to_store, rx) = mpsc::channel(MAX_PENDING_REFUSALS);
         let crashes = Crashes {
             ledger: RefCell::default(),
@@ -88,35 +88,35 @@
     }
 
     /// The verdict on a request.
-    fn verdict(&self, now: Millis, request: impl FnOnce() -> RequestDigest) -> Standing {
+    fn verdict(&self, now: Millis, request: impl FnOnce() -> RequestDigest) -> CrashVerdict {
         let request = self.digest_if_known(request);
-        request.map_or(Standing::Unsuspected, |request| {
-            self.ledger.borrow().standing(now, request)
+        request.map_or(CrashVerdict::Unsuspected, |request| {
+            self.ledger.borrow().verdict(now, request)
         })
     }
 
     /// Returns an error when the request is refused because it crashes targets.
-    pub fn judge(
+    pub fn check(
         &self,
         cx: &Traffic,
         request: impl FnOnce() -> RequestDigest,
     ) -> Result<(), Refusal> {
         let now = cx.clock.now();
-        let Standing::Refused { until } = self.verdict(now, request) else {
+        let CrashVerdict::Refused { until } = self.verdict(now, request) else {
             return Ok(());
         };
         let detail = format!("{CRASHES_TO_REFUSE} targets crashed while running it");
         let refusal = Refusal::new(ErrorKind::EndsTargets, detail);
-        Err(refusal.come_back_after(Duration::from_millis(until - now)))
+        Err(refusal.with_retry_after(Duration::from_millis(until - now)))
     }
 
     /// True when the request has to run isolated.
     pub fn is_suspect(&self, cx: &Traffic, request: impl FnOnce() -> RequestDigest) -> bool {
-        self.verdict(cx.clock.now(), request) != Standing::Unsuspected
+        self.verdict(cx.clock.now(), request) != CrashVerdict::Unsuspected
     }
 
     /// Reports a crash of a target under a request of this entry.
-    pub fn target_ended(&self, cx: &Rc<Traffic>, request: RequestDigest, run: BrokenRun) {
+    pub fn target_crashed(&self, cx: &Rc<Traffic>, request: RequestDigest, run: InterruptedRun) {
         let run = run.report(self.is_suspect(cx, || request));
         match cx.peers.owner_of(cx, &format!("{PREFIX}{request}")) {
             Owner::Me => self.count(cx, request, run),
@@ -132,15 +132,15 @@
             ended: now.saturating_sub(run.ended_ms),
             was_suspect: run.was_suspect,
         };
-        let counted = self.ledger.borrow_mut().crashed(now, request, run);
+        let counted = self.ledger.borrow_mut().record_crash(now, request, run);
         let Some(crashes) = counted else { return };
-        let verdict = self.ledger.borrow().standing(now, request);
+        let verdict = self.ledger.borrow().verdict(now, request);
         log_verdict(cx, request, verdict, format_args!("crashes={crashes}"));
-        if crashes < CRASHES_TO_SET_APART {
+        if crashes < CRASHES_TO_ISOLATE {
             return;
         }
         broadcast(cx, request, verdict);
-        if let Standing::Refused { until } = verdict {
+        if let CrashVerdict::Refused { until } = verdict {
             let lasts = Duration::from_millis(until - now);
             let refusal = NewRefusal { request, lasts };
             if let Err(err) = self.to_store.try_send(refusal) {
@@ -156,25 +156,25 @@
     pub fn on_verdict(&self, cx: &Rc<Traffic>, request: RequestDigest, notice: VerdictNotice) {
         let now = cx.clock.now();
         let verdict = match notice {
-            VerdictNotice::Unsuspected => Standing::Unsuspected,
-            VerdictNotice::Suspect => Standing::Suspect,
-            VerdictNotice::Refused { for_ms } => Standing::Refused {
+            VerdictNotice::Unsuspected => CrashVerdict::Unsuspected,
+            VerdictNotice::Suspect => CrashVerdict::Suspect,
+            VerdictNotice::Refused { for_ms } => CrashVerdict::Refused {
                 until: now + for_ms,
             },
         };
-        if self.ledger.borrow_mut().told(now, request, verdict) {
+        if self.ledger.borrow_mut().learn(now, request, verdict) {
             log_verdict(cx, request, verdict, format_args!("from=peer"));
         }
     }
 
     /// Applies the difference between two lists of refusals in the store.
-    pub fn apply_listed(&self, cx: &Traffic, before: &Refused, listed: &Refused) {
+    pub fn apply_listed(&self, cx: &Traffic, before: &RefusedRequests, listed: &RefusedRequests) {
         let now = cx.clock.now();
         let new = listed.iter();
         let new = new.filter(|(request, _)| !before.contains_key(*request));
         for (request, until) in new {
-            let verdict = Standing::Refused { until: *until };
-            if self.ledger.borrow_mut().told(now, *request, verdict) {
+            let verdict = CrashVerdict::Refused { until: *until };
+            if self.ledger.borrow_mut().learn(now, *request, verdict) {
                 log_verdict(cx, *request, verdict, format_args!("from=store"));
             }
         }
@@ -182,25 +182,30 @@
             .keys()
             .filter(|request| !listed.contains_key(*request));
         for request in removed {
-            if self.ledger.borrow_mut().lifted(now, *request) {
-                log_verdict(cx, *request, Standing::Suspect, format_args!("from=store"));
+            if self.ledger.borrow_mut().lift_refusal(now, *request) {
+                log_verdict(
+                    cx,
+                    *request,
+                    CrashVerdict::Suspect,
+                    format_args!("from=store"),
+                );
             }
         }
     }
 
     /// A request was completed: clears the suspicion.
-    pub fn served(&self, cx: &Rc<Traffic>, request: impl FnOnce() -> RequestDigest) {
+    pub fn record_served(&self, cx: &Rc<Traffic>, request: impl FnOnce() -> RequestDigest) {
         let Some(request) = self.digest_if_known(request) else {
             return;
         };
-        if self.ledger.borrow_mut().served(request) {
+        if self.ledger.borrow_mut().record_success(request) {
             log_verdict(
                 cx,
                 request,
-                Standing::Unsuspected,
+                CrashVerdict::Unsuspected,
                 format_args!("why=served"),
             );
-            broadcast(cx, request, Standing::Unsuspected);
+            broadcast(cx, request, CrashVerdict::Unsuspected);
         }
     }
 
@@ -217,11 +222,11 @@
 }
 
 /// Sends the verdict on a request to every other entry.
-fn broadcast(cx: &Rc<Traffic>, request: RequestDigest, verdict: Standing) {
+fn broadcast(cx: &Rc<Traffic>, request: RequestDigest, verdict: CrashVerdict) {
     let verdict = match verdict {
-        Standing::Unsuspected => VerdictNotice::Unsuspected,
-        Standing::Suspect => VerdictNotice::Suspect,
-        Standing::Refused { until } => VerdictNotice::Refused {
+        CrashVerdict::Unsuspected => VerdictNotice::Unsuspected,
+        CrashVerdict::Suspect => VerdictNotice::Suspect,
+        CrashVerdict::Refused { until } => VerdictNotice::Refused {
             for_ms: until.saturating_sub(cx.clock.now()),
         },
     };
@@ -236,13 +241,13 @@
 fn log_verdict(
     cx: &Traffic,
     request: RequestDigest,
-    verdict: Standing,
+    verdict: CrashVerdict,
     inputs: std::fmt::Arguments<'_>,
 ) {
     let (name, for_ms) = match verdict {
-        Standing::Unsuspected => ("unsuspected", 0),
-        Standing::Suspect => ("suspect", 0),
-        Standing::Refused { until } => ("refused", until.saturating_sub(cx.clock.now())),
+        CrashVerdict::Unsuspected => ("unsuspected", 0),
+        CrashVerdict::Suspect => ("suspect", 0),
+        CrashVerdict::Refused { until } => ("refused", until.saturating_sub(cx.clock.now())),
     };
     let fields = format_args!("content={request} standing={name} for_ms={for_ms} {inputs}");
     cx.log.line(events::REQUEST_STANDING, fields);
--- a/crates/gateway/src/event_loop_lag.rs
+++ b/crates/gateway/src/event_loop_lag.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hollowsail_clock::{suspended, Moment};
+use hollowsail_clock::{suspended, BootInstant};
 use hollowsail_observe::events;
 
 use crate::traffic::Traffic;
@@ -15,8 +15,8 @@
 pub async fn watch(cx: Rc<Traffic>) {
     let mut suspended_earlier = suspended();
     loop {
-        let due = Moment::now() + MEASURE_INTERVAL;
-        tokio::time::sleep_until(due.timer().into()).await;
+        let due = BootInstant::now() + MEASURE_INTERVAL;
+        tokio::time::sleep_until(due.to_instant().into()).await;
         let suspended_now = suspended();
         let suspended_for = suspended_now.saturating_sub(suspended_earlier);
         suspended_earlier = suspended_now;
@@ -29,11 +29,15 @@
 }
 
 fn record_lag(cx: &Rc<Traffic>, lag: Duration) {
-    let mut pace = cx.pace.get();
-    let changed = pace.woke(cx.clock.now(), lag.as_millis() as u64);
-    cx.pace.set(pace);
+    let mut event_loop_lag = cx.lag.get();
+    let changed = event_loop_lag.record(cx.clock.now(), lag.as_millis() as u64);
+    cx.lag.set(event_loop_lag);
     if changed {
-        let fields = format_args!("is_slow={} late_ms={:.1}", pace.is_slow(), pace.late_ms());
+        let fields = format_args!(
+            "is_slow={} late_ms={:.1}",
+            event_loop_lag.is_lagging(),
+            event_loop_lag.lag_ms()
+        );
         cx.log.line(events::PACE, fields);
         cx.pools.hand_over(cx);
     }
