--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -1,7 +1,7 @@
 //! Serves changes of the store to the other entries of the hall.
 //!
 //! Control records here what it receives from its watches while this entry is a store follower
-//! of its hall ([`hollowsail_fleet::readers`]). Peers request changes with a [`FeedAsk`],
+//! of its hall ([`hollowsail_fleet::store_followers`]). Peers request changes with a [`FeedRequest`],
 //! which waits like a watch of the store. An entry that is not a follower or cannot reach the
 //! store says so at once, and the peer tries another entry.
 
@@ -9,12 +9,12 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-use hollowsail_fleet::{Position, Since, WatchLog};
+use hollowsail_fleet::{ChangesSince, Position, WatchLog};
 use hollowsail_platform::store::{Change, Changes, Item, Range};
 use serde::{Deserialize, Serialize};
 use tokio::sync::Notify;
 
-/// Path that accepts a [`FeedAsk`] and returns a [`FeedAnswer`].
+/// Path that accepts a [`FeedRequest`] and returns a [`FeedResponse`].
 pub const FEED_PATH: &str = "/hollowsail/feed";
 
 /// Number of changes kept for each group of keys; covers a few seconds in which all targets of
@@ -27,7 +27,7 @@
 
 /// A group of keys in the store that is followed as one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Keys {
+pub enum KeyGroup {
     /// Keys written by operators.
     Operators,
     /// Target records.
@@ -36,7 +36,7 @@
     Entries,
 }
 
-impl Keys {
+impl KeyGroup {
     /// Number of groups.
     pub const COUNT: usize = 3;
 
@@ -48,17 +48,17 @@
 
 /// Request for changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FeedAsk {
-    pub keys: Keys,
+pub struct FeedRequest {
+    pub keys: KeyGroup,
     /// Position up to which the requester has all changes.
     pub after: Position,
     /// Longest time to wait for a change, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// Response to a [`FeedAsk`].
+/// Response to a [`FeedRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum FeedAnswer {
+pub enum FeedResponse {
     Changed {
         changes: Changes,
         /// The store was unreachable until recently: deleted records may be written again.
@@ -100,7 +100,7 @@
 
 /// All feeds; written by the control thread, read by the traffic thread.
 pub struct Feeds {
-    feeds: [Mutex<Feed>; Keys::COUNT],
+    feeds: [Mutex<Feed>; KeyGroup::COUNT],
     store: Mutex<StoreState>,
     changed: Notify,
 }
@@ -127,7 +127,7 @@
 }
 
 impl Feeds {
-    fn feed(&self, keys: Keys) -> MutexGuard<'_, Feed> {
+    fn feed(&self, keys: KeyGroup) -> MutexGuard<'_, Feed> {
         self.feeds[keys.position()]
             .lock()
             .expect("no thread panics while holding the lock")
@@ -140,25 +140,25 @@
     }
 
     /// Restarts the log after all keys were read at a position.
-    pub fn begin(&self, keys: Keys, at: Position) {
+    pub fn restart_at(&self, keys: KeyGroup, at: Position) {
         let mut feed = self.feed(keys);
-        feed.log.begin(at);
+        feed.log.restart_at(at);
         feed.items = None;
     }
 
     /// Restarts the log with the items that were read.
-    pub fn begin_with(&self, keys: Keys, range: &Range) {
+    pub fn restart_with(&self, keys: KeyGroup, range: &Range) {
         let items = range.items.iter();
         let items = items.map(|item| (item.key.clone(), item.clone()));
         let mut feed = self.feed(keys);
-        feed.log.begin(range.at);
+        feed.log.restart_at(range.at);
         feed.items = Some(items.collect());
         drop(feed);
         self.changed.notify_waiters();
     }
 
     /// Appends changes from the store or from a peer.
-    pub fn extend(&self, keys: Keys, changes: &Changes) {
+    pub fn extend(&self, keys: KeyGroup, changes: &Changes) {
         let each = changes.changes.iter();
         let each = each.map(|change| (change.at(), change.clone()));
         let mut feed = self.feed(keys);
@@ -174,7 +174,7 @@
     }
 
     /// Sets whether this entry follows the keys on behalf of its hall.
-    pub fn set_read(&self, keys: Keys, is_followed: bool) {
+    pub fn set_followed(&self, keys: KeyGroup, is_followed: bool) {
         let was_read = std::mem::replace(&mut self.feed(keys).is_followed, is_followed);
         if was_read != is_followed {
             self.changed.notify_waiters();
@@ -182,20 +182,20 @@
     }
 
     /// The store became unreachable.
-    pub fn store_away(&self) {
+    pub fn store_unreachable(&self) {
         self.store().is_away = true;
         self.changed.notify_waiters();
     }
 
     /// The store is reachable again; deleted records may be written again for a time.
-    pub fn store_back(&self, unsettled_for: Duration) {
+    pub fn store_reachable(&self, unsettled_for: Duration) {
         let mut store = self.store();
         store.is_away = false;
         store.unsettled_until = Some(Instant::now() + unsettled_for);
     }
 
     /// Sets whether a reply of the store is overdue.
-    pub fn set_silent(&self, is_silent: bool) {
+    pub fn set_store_silent(&self, is_silent: bool) {
         let was_silent = std::mem::replace(&mut self.store().is_silent, is_silent);
         if was_silent != is_silent {
             self.changed.notify_waiters();
@@ -203,7 +203,7 @@
     }
 
     /// True when this entry follows any keys on behalf of its hall.
-    pub fn is_read(&self) -> bool {
+    pub fn is_followed(&self) -> bool {
         let feeds = self.feeds.iter();
         let mut followed = feeds.map(|feed| {
             feed.lock()
@@ -214,7 +214,7 @@
     }
 
     /// Answers a peer as soon as there are changes, or after its waiting time.
-    pub async fn answer(&self, request: &FeedAsk) -> FeedAnswer {
+    pub async fn answer(&self, request: &FeedRequest) -> FeedResponse {
         let until = Instant::now() + Duration::from_millis(request.wait_ms);
         loop {
             let mut changed = std::pin::pin!(self.changed.notified());
@@ -226,38 +226,38 @@
                 .await
                 .is_err()
             {
-                return FeedAnswer::NothingNew;
+                return FeedResponse::NothingNew;
             }
         }
     }
 
     /// The response that can be given now, if any.
-    fn try_answer(&self, request: &FeedAsk) -> Option<FeedAnswer> {
+    fn try_answer(&self, request: &FeedRequest) -> Option<FeedResponse> {
         let store = *self.store();
         let feed = self.feed(request.keys);
         if !feed.is_followed || store.is_away || store.is_silent {
-            return Some(FeedAnswer::NotReading);
+            return Some(FeedResponse::NotReading);
         }
         let unsettled_until = store.unsettled_until;
         let is_unsettled = unsettled_until.is_some_and(|until| Instant::now() < until);
         match feed.log.since(request.after) {
-            Since::NothingNew => None,
-            Since::Unknown => Some(match &feed.items {
-                Some(items) => FeedAnswer::Whole {
+            ChangesSince::NothingNew => None,
+            ChangesSince::Unknown => Some(match &feed.items {
+                Some(items) => FeedResponse::Whole {
                     range: Range {
                         items: items.values().cloned().collect(),
-                        at: feed.log.known_to(),
+                        at: feed.log.end(),
                     },
                     is_unsettled,
                 },
-                None => FeedAnswer::Unknown,
+                None => FeedResponse::Unknown,
             }),
-            Since::Changes { changes, .. }
-                if request.keys == Keys::Targets && changes.len() > MAX_SENT_CHANGES =>
+            ChangesSince::Changes { changes, .. }
+                if request.keys == KeyGroup::Targets && changes.len() > MAX_SENT_CHANGES =>
             {
-                Some(FeedAnswer::Unknown)
+                Some(FeedResponse::Unknown)
             }
-            Since::Changes { changes, to } => Some(FeedAnswer::Changed {
+            ChangesSince::Changes { changes, to } => Some(FeedResponse::Changed {
                 changes: Changes { changes, at: to },
                 is_unsettled,
             }),
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -20,7 +20,7 @@
 mod log;
 mod mechanisms;
 mod metrics;
-mod owned_since;
+mod ownership_age;
 mod peers;
 mod placement;
 mod pools;
@@ -31,7 +31,7 @@
 mod stop;
 mod target_calls;
 mod target_group;
-mod target_words;
+mod target_reports;
 mod traffic;
 mod view;
 
--- a/crates/gateway/src/mechanisms.rs
+++ b/crates/gateway/src/mechanisms.rs
@@ -11,7 +11,7 @@
     /// One queue for the workers of a stage service, owned by one entry.
     SharedQueues,
     /// One scheduler for a group of engines.
-    Desk,
+    Scheduler,
     /// Generations go to engines that have cached their prefix.
     Affinity,
     /// Requests that would miss their deadline are refused before anything runs.
@@ -25,7 +25,7 @@
     /// Results are released at the first event of the stream instead of its end.
     FirstEvent,
     /// The time reserved for the engine depends on the length of the prompt.
-    ReadingTimes,
+    PrefillTimes,
     /// The route's priority orders requests of organisations with equal priority.
     RoutePriority,
     /// Calls that take too long are repeated at another target.
@@ -35,14 +35,14 @@
 /// Command-line names of the mechanisms.
 const NAMES: [(Mechanism, &str); 11] = [
     (Mechanism::SharedQueues, "shared-queues"),
-    (Mechanism::Desk, "desk"),
+    (Mechanism::Scheduler, "desk"),
     (Mechanism::Affinity, "affinity"),
     (Mechanism::Forecast, "forecast"),
     (Mechanism::Groups, "groups"),
     (Mechanism::Halls, "halls"),
     (Mechanism::JointFinals, "joint-finals"),
     (Mechanism::FirstEvent, "first-event"),
-    (Mechanism::ReadingTimes, "reading-times"),
+    (Mechanism::PrefillTimes, "reading-times"),
     (Mechanism::RoutePriority, "route-priority"),
     (Mechanism::Overdue, "overdue"),
 ];
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -89,7 +89,7 @@
 }
 
 /// Records how long a result was retained after its call.
-pub fn record_stay(queue: &str, stayed: Duration) {
+pub fn record_retention(queue: &str, stayed: Duration) {
     histogram!("hollowsail_result_stay_seconds", "queue" => queue.to_string()).record(stayed);
 }
 
@@ -103,7 +103,7 @@
         Outcome::Answered(_) => "answered",
         Outcome::Failed => "failed",
         Outcome::Broken => "broken",
-        Outcome::Silent(_) => "silent",
+        Outcome::TimedOut(_) => "silent",
     };
     counter!("hollowsail_rollout_answers_total", "service" => service.to_string(),
         "version" => version, "outcome" => outcome)
@@ -111,7 +111,7 @@
 }
 
 /// Counts an outage of the store.
-pub fn count_store_lost() {
+pub fn count_store_outage() {
     counter!("hollowsail_store_lost_total").increment(1);
 }
 
--- a/crates/gateway/src/owned_since.rs
+++ b/crates/gateway/src/ownership_age.rs
@@ -13,7 +13,7 @@
 
 /// Ownership age of one key.
 #[derive(Debug, Default)]
-pub struct OwnedSince {
+pub struct OwnershipAge {
     state: Cell<Ownership>,
 }
 
@@ -26,7 +26,7 @@
     NotOwned,
 }
 
-impl OwnedSince {
+impl OwnershipAge {
     /// The share of limits that this entry may use as the owner of `key`. Has to be called on
     /// each change of the entries, so that no change of the owner is missed. An entry that
     /// still serves a key it no longer owns uses the share of a recent owner.
--- a/crates/gateway/src/peers/link.rs
+++ b/crates/gateway/src/peers/link.rs
@@ -18,10 +18,11 @@
 use tokio::sync::{mpsc, oneshot};
 
 use super::messages::{
-    self, Envelope, MakePiece, Message, PieceEnd, PieceId, PlaceAnswer, PlacementId, PATH,
+    self, Envelope, MakePieceRequest, Message, PieceId, PieceOutcome, PlacementId, PlacementReply,
+    PATH,
 };
 use super::record::PeerRecord;
-use crate::target_words;
+use crate::target_reports;
 use crate::traffic::Traffic;
 
 /// Timeout for a peer to accept an envelope.
@@ -39,7 +40,7 @@
 pub struct LinkLost;
 
 /// Outcome of a piece at a peer.
-pub type RemoteOutcome = Result<PieceEnd, LinkLost>;
+pub type RemoteOutcome = Result<PieceOutcome, LinkLost>;
 
 #[derive(Debug, Snafu)]
 enum LinkError {
@@ -61,7 +62,7 @@
     pool: Rc<Pool>,
     outbox: RefCell<Vec<Message>>,
     awaited: RefCell<HashMap<PieceId, oneshot::Sender<RemoteOutcome>>>,
-    awaited_placements: RefCell<HashMap<PlacementId, mpsc::UnboundedSender<PlaceAnswer>>>,
+    awaited_placements: RefCell<HashMap<PlacementId, mpsc::UnboundedSender<PlacementReply>>>,
     is_sending: Cell<bool>,
     is_probing: Cell<bool>,
     last_received: Cell<Instant>,
@@ -86,12 +87,12 @@
 pub struct PlacementRequest {
     link: Rc<Link>,
     id: PlacementId,
-    answers: mpsc::UnboundedReceiver<PlaceAnswer>,
+    answers: mpsc::UnboundedReceiver<PlacementReply>,
 }
 
 impl PlacementRequest {
     /// The scheduler's next reply; `None` when the peer is lost.
-    pub async fn next(&mut self) -> Option<PlaceAnswer> {
+    pub async fn next(&mut self) -> Option<PlacementReply> {
         self.answers.recv().await
     }
 }
@@ -106,9 +107,9 @@
     /// Creates the link; it connects with the first message.
     pub fn new(cx: &Rc<Traffic>, peer: PeerRecord) -> Rc<Self> {
         let rules = PoolRules {
-            dial_within: DELIVERY_TIMEOUT,
+            dial_timeout: DELIVERY_TIMEOUT,
             max_idle: 1,
-            idle_for: Duration::from_secs(60),
+            idle_timeout: Duration::from_secs(60),
         };
         Rc::new(Link {
             cx: Rc::downgrade(cx),
@@ -138,7 +139,7 @@
 
     /// Has the peer produce a piece; [`LinkLost`] when the peer is lost meanwhile. Dropping
     /// the future cancels the piece.
-    pub async fn make(self: &Rc<Self>, piece: MakePiece) -> RemoteOutcome {
+    pub async fn request_piece(self: &Rc<Self>, piece: MakePieceRequest) -> RemoteOutcome {
         if self.is_closed.get() {
             return Err(LinkLost);
         }
@@ -152,7 +153,7 @@
     }
 
     /// Requests a placement from a scheduler of the peer. The caller bounds the time.
-    pub fn place(
+    pub fn request_placement(
         self: &Rc<Self>,
         id: PlacementId,
         scheduler: String,
@@ -176,8 +177,8 @@
     }
 
     /// A reply of the peer's scheduler was received.
-    pub fn on_placement_reply(self: &Rc<Self>, id: PlacementId, answer: PlaceAnswer) {
-        if answer == PlaceAnswer::Waits {
+    pub fn on_placement_reply(self: &Rc<Self>, id: PlacementId, answer: PlacementReply) {
+        if answer == PlacementReply::Waits {
             let awaited = self.awaited_placements.borrow();
             // Absent when the requester chose an engine itself; the scheduler is notified then.
             awaited
@@ -192,7 +193,7 @@
     }
 
     /// The outcome of a piece was received. False when no requester waits for it.
-    pub fn complete_piece(&self, id: PieceId, end: PieceEnd) -> bool {
+    pub fn complete_piece(&self, id: PieceId, end: PieceOutcome) -> bool {
         let requester = self.awaited.borrow_mut().remove(&id);
         requester.is_some_and(|tx| tx.send(Ok(end)).is_ok())
     }
@@ -232,18 +233,18 @@
     fn handle_undelivered(&self, message: Message) {
         let Some(cx) = self.cx.upgrade() else { return };
         match message {
-            Message::Free(spent) => cx.pools.free(&cx, &spent),
+            Message::Free(spent) => cx.pools.release(&cx, &spent),
             Message::TargetEnded { request, run } => cx.crashes.count(&cx, request, run),
             // The coordinator is unreachable: this entry broadcasts.
             Message::TargetLeaves {
                 target,
                 tell_others: true,
-            } => target_words::on_draining_notice(&cx, &target, true),
+            } => target_reports::on_draining_notice(&cx, &target, true),
             Message::TargetLimit {
                 target,
                 tell_others: true,
                 ..
-            } => target_words::broadcast_limit(&cx, &target),
+            } => target_reports::broadcast_limit(&cx, &target),
             _ => {}
         }
     }
@@ -270,7 +271,7 @@
         let envelope = Envelope {
             from: cx.me.clone(),
             to: self.peer.id,
-            is_slow: cx.pace.get().is_slow(),
+            is_slow: cx.lag.get().is_lagging(),
             messages,
         };
         let result = match tokio::time::timeout(DELIVERY_TIMEOUT, self.post(&envelope)).await {
--- a/crates/gateway/src/peers/listen.rs
+++ b/crates/gateway/src/peers/listen.rs
@@ -15,10 +15,12 @@
 
 use super::messages::{Envelope, Message, PATH};
 use super::record::PeerRecord;
-use super::state::{RecordsAsk, RecordsAt, StateAnswer, StateAsk, RECORDS_PATH, STATE_PATH};
+use super::state::{
+    RecordsRequest, RecordsSnapshot, StateRequest, StateResponse, RECORDS_PATH, STATE_PATH,
+};
 use crate::callers::listen::accept_each;
-use crate::feed::{FeedAsk, FEED_PATH};
-use crate::target_words;
+use crate::feed::{FeedRequest, FEED_PATH};
+use crate::target_reports;
 use crate::traffic::Traffic;
 use crate::view::KnownRecords;
 
@@ -132,7 +134,7 @@
 
 /// Returns the state that is newer than the requester's.
 async fn state(cx: &Rc<Traffic>, req: Request<Incoming>) -> Result<Bytes, Rejection> {
-    let request: StateAsk = read(req).await?;
+    let request: StateRequest = read(req).await?;
     let view = cx.view();
     let deployment = view.deployment.as_ref();
     let version = deployment.map(|deployment| deployment.version);
@@ -142,11 +144,11 @@
         .filter(|_| version > request.configuration);
     let newer = |known: &&KnownRecords| known.at > request.records;
     let records = view.records.as_ref().filter(newer);
-    let evacuated = Some(&view.emptied).filter(|known| known.as_of() > request.emptied);
-    let answer = StateAnswer {
+    let evacuated = Some(&view.evacuated).filter(|known| known.as_of() > request.emptied);
+    let answer = StateResponse {
         configuration: source.map(<[u8]>::to_vec),
         emptied: evacuated.cloned(),
-        records: records.map(RecordsAt::from),
+        records: records.map(RecordsSnapshot::from),
         peers: view.peers.to_vec(),
         refused: cx.crashes.refused(cx),
         orders: view.orders.clone(),
@@ -158,11 +160,11 @@
 
 /// Returns all target records if they are newer than the requester's.
 async fn records_if_newer(cx: &Rc<Traffic>, req: Request<Incoming>) -> Result<Bytes, Rejection> {
-    let request: RecordsAsk = read(req).await?;
+    let request: RecordsRequest = read(req).await?;
     let view = cx.view();
     let records = view.records.as_ref();
     let newer = records.filter(|known| known.at > request.after);
-    let answer = newer.map(RecordsAt::from);
+    let answer = newer.map(RecordsSnapshot::from);
     Ok(rmp_serde::to_vec(&answer)
         .expect("these types always encode")
         .into())
@@ -170,7 +172,7 @@
 
 /// Returns changes of the store as soon as there are any.
 async fn changes(cx: &Rc<Traffic>, req: Request<Incoming>) -> Result<Bytes, Rejection> {
-    let request: FeedAsk = read(req).await?;
+    let request: FeedRequest = read(req).await?;
     let answer = cx.feeds.answer(&request).await;
     Ok(rmp_serde::to_vec(&answer)
         .expect("these types always encode")
@@ -179,34 +181,35 @@
 
 fn handle_message(cx: &Rc<Traffic>, from: &PeerRecord, message: Message) {
     match message {
-        Message::Make(piece) => cx.pools.take_piece(cx, from, *piece),
-        Message::GiveUp(id) => cx.pools.give_up_piece(from.id, id),
+        Message::Make(piece) => cx.pools.accept_piece(cx, from, *piece),
+        Message::GiveUp(id) => cx.pools.cancel_piece(from.id, id),
         Message::Place {
             id,
             desk: scheduler,
             demand,
         } => {
             let link = cx.peers.link_to(cx, from);
-            cx.placements.take_ask(cx, &link, id, &scheduler, *demand);
+            cx.placements
+                .handle_place_request(cx, &link, id, &scheduler, *demand);
         }
         Message::Placed(id, answer) => cx.peers.link_to(cx, from).on_placement_reply(id, answer),
-        Message::PlacementStep(id, step) => cx.placements.take_step(cx, from.id, id, step),
-        Message::Load { queue, load } => cx.pools.take_load(cx, queue, load),
+        Message::PlacementStep(id, step) => cx.placements.handle_step(cx, from.id, id, step),
+        Message::Load { queue, load } => cx.pools.update_load(cx, queue, load),
         Message::TakeOver { queue, workers } => cx.pools.take_over(cx, &queue, &workers),
-        Message::Free(spent) => cx.pools.free(cx, &spent),
+        Message::Free(spent) => cx.pools.release(cx, &spent),
         Message::TargetLeaves {
             target,
             tell_others,
-        } => target_words::on_draining_notice(cx, &target, tell_others),
+        } => target_reports::on_draining_notice(cx, &target, tell_others),
         Message::TargetLimit {
             target,
             limit,
             tell_others,
-        } => target_words::on_limit_notice(cx, &target, limit, tell_others),
+        } => target_reports::on_limit_notice(cx, &target, limit, tell_others),
         Message::TargetEnded { request, run } => cx.crashes.count(cx, request, run),
         Message::Standing { request, standing } => cx.crashes.on_verdict(cx, request, standing),
-        Message::RolloutReport(report) => cx.rollouts.reported(cx, from, *report),
-        Message::RolloutPhase(notice) => cx.rollouts.told(cx, from.id, &notice),
+        Message::RolloutReport(report) => cx.rollouts.on_report(cx, from, *report),
+        Message::RolloutPhase(notice) => cx.rollouts.on_phase_notice(cx, from.id, &notice),
         Message::Ended(id, end) => {
             let link = cx.peers.link_to(cx, from);
             if !link.complete_piece(id, end) {
--- a/crates/gateway/src/peers/messages.rs
+++ b/crates/gateway/src/peers/messages.rs
@@ -15,7 +15,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::record::{PeerId, PeerRecord};
-use crate::rollouts::{RolloutReport, ToldPhase};
+use crate::rollouts::{PhaseNotice, RolloutReport};
 
 /// Path that accepts an [`Envelope`].
 pub const PATH: &str = "/hollowsail/messages";
@@ -63,7 +63,7 @@
 
 /// A scheduler's reply to a placement request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum PlaceAnswer {
+pub enum PlacementReply {
     /// The engine to send to.
     There(Incarnation),
     /// No engine is available; another reply follows within the demand's waiting time.
@@ -90,15 +90,15 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Message {
     /// To the owner of a queue: produce a piece.
-    Make(Box<MakePiece>),
+    Make(Box<MakePieceRequest>),
     /// To the owner: the piece is no longer needed.
     GiveUp(PieceId),
     /// To the requester: the outcome of its piece.
-    Ended(PieceId, PieceEnd),
+    Ended(PieceId, PieceOutcome),
     /// To the new owner of a queue: the known state of its workers.
     TakeOver {
         queue: String,
-        workers: Vec<WorkerAtHandOver>,
+        workers: Vec<WorkerHandover>,
     },
     /// To the owner of a scheduler: place a generation.
     Place {
@@ -107,13 +107,13 @@
         demand: Box<Demand<Incarnation>>,
     },
     /// To the requester: the reply to its placement request.
-    Placed(PlacementId, PlaceAnswer),
+    Placed(PlacementId, PlacementReply),
     /// To the owner of a scheduler: progress of a placed generation.
     PlacementStep(PlacementId, PlacementStep),
     /// To the requester: the load of a queue.
     Load { queue: String, load: QueueLoad },
     /// To the owner: a result that is no longer needed.
-    Free(SpentResult),
+    Free(UnneededResult),
     /// A target is draining. Sent to the entry that coordinates broadcasts for the target, or
     /// from it.
     TargetLeaves {
@@ -140,7 +140,7 @@
     /// To the leader of a roll-out: the evidence that this entry has collected.
     RolloutReport(Box<RolloutReport>),
     /// From the leader of a roll-out: the phase in force.
-    RolloutPhase(ToldPhase),
+    RolloutPhase(PhaseNotice),
 }
 
 /// A run that was interrupted by a crash of its target; times are ages in milliseconds.
@@ -168,8 +168,8 @@
 
 /// Outcome of a piece at its queue's owner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum PieceEnd {
-    Made(Made),
+pub enum PieceOutcome {
+    Made(CompletedPiece),
     Failed(PieceFailure),
     /// Not started; the queue has another owner now.
     Moved,
@@ -177,14 +177,14 @@
 
 /// State of a worker when its queue passes to another owner.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct WorkerAtHandOver {
+pub struct WorkerHandover {
     pub target: Incarnation,
     pub state: WorkerState,
 }
 
 /// A result that is no longer needed.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct SpentResult {
+pub struct UnneededResult {
     pub queue: String,
     /// Its maker.
     pub target: Incarnation,
@@ -193,7 +193,7 @@
 
 /// A piece for the owner of a queue to produce.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct MakePiece {
+pub struct MakePieceRequest {
     pub id: PieceId,
     pub queue: String,
     pub piece: Piece,
@@ -217,7 +217,7 @@
 
 /// A completed result.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Made {
+pub struct CompletedPiece {
     pub handle: String,
     pub target: Incarnation,
     pub addr: SocketAddr,
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -21,17 +21,21 @@
 use hollowsail_observe::events;
 use hollowsail_routing::Millis;
 
-use crate::target_words;
+use crate::target_reports;
 use crate::traffic::Traffic;
 
 pub use link::Link;
 pub use listen::start;
 pub use messages::{
-    request, CrashedRunReport, LimitNotice, Made, MakePiece, Message, PieceEnd, PieceId,
-    PlaceAnswer, PlacementId, PlacementStep, SpentResult, VerdictNotice, WorkerAtHandOver,
+    request, CompletedPiece, CrashedRunReport, LimitNotice, MakePieceRequest, Message, PieceId,
+    PieceOutcome, PlacementId, PlacementReply, PlacementStep, UnneededResult, VerdictNotice,
+    WorkerHandover,
 };
 pub use record::{capacity_of, PeerId, PeerRecord, PREFIX};
-pub use state::{RecordAt, RecordsAsk, RecordsAt, StateAnswer, StateAsk, RECORDS_PATH, STATE_PATH};
+pub use state::{
+    PositionedRecord, RecordsRequest, RecordsSnapshot, StateRequest, StateResponse, RECORDS_PATH,
+    STATE_PATH,
+};
 
 /// How long a peer that did not respond owns nothing after its first failure, in milliseconds.
 const SUSPECT_MS: Millis = 1_500;
@@ -130,7 +134,7 @@
         if self.first_listed.get().is_none() && !listed.is_empty() {
             self.first_listed.set(Some(cx.clock.now()));
         }
-        self.runs.borrow_mut().take_listed(listed.to_vec());
+        self.runs.borrow_mut().set_listed(listed.to_vec());
         self.update_live(cx);
     }
 
@@ -162,7 +166,7 @@
                 cx.placements.requester_lost(cx, old.id);
             }
         }
-        target_words::send_limits_to_new_peers(cx, &new_peers);
+        target_reports::send_limits_to_new_peers(cx, &new_peers);
     }
 
     /// Records that the inputs of the ownership decision change at `at`.
@@ -190,7 +194,7 @@
                 peer.host, peer.addr, peer.hall
             ),
         );
-        self.runs.borrow_mut().heard(old, peer.clone());
+        self.runs.borrow_mut().observed(old, peer.clone());
         self.update_live(cx);
     }
 
@@ -219,7 +223,7 @@
 
     /// Position of this entry among all entries, from 0 to 1, in an order that all share;
     /// `None` before the first list of entries.
-    pub fn place(&self, cx: &Traffic) -> Option<f64> {
+    pub fn position(&self, cx: &Traffic) -> Option<f64> {
         self.first_listed.get()?;
         let live = self.live.borrow();
         let before = live.iter().filter(|peer| peer.id < cx.me.id).count();
@@ -228,7 +232,7 @@
 
     /// Waits until enough entries are known to decide on owners. Returns at once except
     /// shortly after the start.
-    pub async fn settled(&self, cx: &Traffic) {
+    pub async fn wait_until_settled(&self, cx: &Traffic) {
         let listed = self.first_listed.get();
         let settled_at = listed.map_or(SETTLE_UNLISTED_MS, |listed| listed + SETTLE_MS);
         if cx.clock.now() < settled_at {
@@ -270,13 +274,13 @@
             .collect();
         let lagging = self.lagging.borrow();
         let is_lagging = |peer: &PeerRecord| match peer.id == cx.me.id {
-            true => cx.pace.get().is_slow(),
+            true => cx.lag.get().is_lagging(),
             false => lagging.get(&peer.id).is_some_and(|until| *until > now),
         };
         let candidates = usable.iter().map(|peer| Candidate {
             host: &peer.host,
             capacity: peer.capacity,
-            is_slow: is_lagging(peer),
+            is_lagging: is_lagging(peer),
         });
         read(ownership::owner(key, candidates).map(|index| usable[index]))
     }
--- a/crates/gateway/src/peers/state.rs
+++ b/crates/gateway/src/peers/state.rs
@@ -4,7 +4,7 @@
 //! state. An entry that cannot reach the store itself returns no records, so that two such
 //! entries do not confirm each other's stale state.
 
-use hollowsail_fleet::{EmptiedHalls, Position};
+use hollowsail_fleet::{EvacuatedHalls, Position};
 use hollowsail_platform::targets::TargetRecord;
 use hollowsail_routing::RequestDigest;
 use serde::{Deserialize, Serialize};
@@ -13,12 +13,12 @@
 use crate::rollouts::PlacedOrder;
 use crate::view::KnownRecords;
 
-/// Path that accepts a [`StateAsk`] and returns a [`StateAnswer`].
+/// Path that accepts a [`StateRequest`] and returns a [`StateResponse`].
 pub const STATE_PATH: &str = "/hollowsail/state";
 
 /// Versions of the state that the requesting entry has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StateAsk {
+pub struct StateRequest {
     /// Version of its configuration, if it has one.
     pub configuration: Option<u64>,
     /// Store position of its target records.
@@ -29,14 +29,14 @@
 
 /// State that is newer than the request's versions.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct StateAnswer {
+pub struct StateResponse {
     /// The configuration, in the bytes stored in the store.
     #[serde(with = "serde_bytes")]
     pub configuration: Option<Vec<u8>>,
     /// Evacuated halls, if newer.
-    pub emptied: Option<EmptiedHalls>,
+    pub emptied: Option<EvacuatedHalls>,
     /// All target records, if newer and the responding entry receives updates from the store.
-    pub records: Option<RecordsAt>,
+    pub records: Option<RecordsSnapshot>,
     /// Live entries known to the responding entry.
     pub peers: Vec<PeerRecord>,
     /// Refused requests that crash targets, and the remaining time in milliseconds.
@@ -47,36 +47,36 @@
 
 /// All target records at a store position.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RecordsAt {
+pub struct RecordsSnapshot {
     pub at: Position,
-    pub records: Vec<RecordAt>,
+    pub records: Vec<PositionedRecord>,
 }
 
-/// Path that accepts a [`RecordsAsk`] and returns an `Option` of [`RecordsAt`]: `None` when
+/// Path that accepts a [`RecordsRequest`] and returns an `Option` of [`RecordsSnapshot`]: `None` when
 /// the entry receives no updates from the store or has nothing newer.
 pub const RECORDS_PATH: &str = "/hollowsail/records";
 
 /// Request for all target records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RecordsAsk {
+pub struct RecordsRequest {
     /// Store position of the records that the requesting entry has.
     pub after: Position,
 }
 
 /// A target record and the store position of its last change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RecordAt {
+pub struct PositionedRecord {
     pub at: Position,
     pub record: TargetRecord,
 }
 
-impl From<&KnownRecords> for RecordsAt {
+impl From<&KnownRecords> for RecordsSnapshot {
     fn from(known: &KnownRecords) -> Self {
-        let records = known.records.iter().map(|(at, record)| RecordAt {
+        let records = known.records.iter().map(|(at, record)| PositionedRecord {
             at: *at,
             record: TargetRecord::clone(record),
         });
-        RecordsAt {
+        RecordsSnapshot {
             at: known.at,
             records: records.collect(),
         }
--- a/crates/gateway/src/placement/mod.rs
+++ b/crates/gateway/src/placement/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Each group of targets is owned by one entry, whose [`GroupScheduler`] tracks the load that
 //! all entries put on it. Other entries send their demands to the owner over peer links and
-//! choose a target themselves if no answer arrives in time. A [`Placed`] reports the request's
+//! choose a target themselves if no answer arrives in time. A [`Placement`] reports the request's
 //! progress to the scheduler. Plain services use this too while a target reports a limit.
 
 mod placed;
@@ -18,11 +18,11 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-use crate::peers::{Link, Message, Owner, PeerId, PlaceAnswer, PlacementId, PlacementStep};
+use crate::peers::{Link, Message, Owner, PeerId, PlacementId, PlacementReply, PlacementStep};
 use crate::target_group::TargetGroup;
 use crate::traffic::Traffic;
 
-pub use placed::Placed;
+pub use placed::Placement;
 use placed::SchedulerHandle;
 use scheduler::{Decision, GroupScheduler, Reply};
 
@@ -36,16 +36,16 @@
 type SchedulerEntry = (Rc<GroupScheduler>, PlacementKey);
 
 /// Outcome of a placement attempt.
-pub enum PlaceEnd {
-    There(Incarnation, Placed),
+pub enum PlacementOutcome {
+    Placed(Incarnation, Placement),
     /// All candidates are at their limits for longer than the request may wait.
-    Full {
-        return_in: Duration,
+    AtLimit {
+        retry_after: Duration,
     },
     /// The scheduler has no candidate.
-    Nowhere,
+    NoCandidate,
     /// No scheduler answered in time.
-    Silent,
+    NoReply,
 }
 
 /// Removes a demand from a local scheduler's queue when dropped.
@@ -79,13 +79,13 @@
         cx: &Rc<Traffic>,
         service: &str,
         demand: Demand<Incarnation>,
-    ) -> PlaceEnd {
+    ) -> PlacementOutcome {
         let targets = cx.target_count(service);
         let name = TargetGroup::for_key(targets, MAX_GROUP_ENGINES, &demand.part).name(service);
         match cx.peers.owner_of(cx, &name) {
             Owner::Me => match self.scheduler(cx, &name) {
                 Some(scheduler) => place_here(cx, scheduler, demand).await,
-                None => PlaceEnd::Nowhere,
+                None => PlacementOutcome::NoCandidate,
             },
             Owner::Peer(link) => self.place_at_peer(link, name, demand).await,
         }
@@ -96,21 +96,21 @@
         link: Rc<Link>,
         name: String,
         demand: Demand<Incarnation>,
-    ) -> PlaceEnd {
+    ) -> PlacementOutcome {
         let id = self.next_id();
         let waits = Duration::from_millis(demand.waits_ms);
         // Dropped if the answer is too late, which reports the placement as abandoned.
-        let placed = Placed::new(SchedulerHandle::Peer(link.clone(), id));
-        let mut replies = link.place(id, name, demand);
+        let placed = Placement::new(SchedulerHandle::Peer(link.clone(), id));
+        let mut replies = link.request_placement(id, name, demand);
         let mut answer = timeout(REPLY_TIMEOUT, replies.next()).await;
-        if let Ok(Some(PlaceAnswer::Waits)) = answer {
+        if let Ok(Some(PlacementReply::Waits)) = answer {
             answer = timeout(waits + REPLY_TIMEOUT, replies.next()).await;
         }
         match answer {
-            Ok(Some(PlaceAnswer::There(engine))) => PlaceEnd::There(engine, placed),
-            Ok(Some(PlaceAnswer::Full { return_ms })) => at_limit(return_ms),
-            Ok(Some(PlaceAnswer::Nowhere)) => PlaceEnd::Nowhere,
-            Ok(Some(PlaceAnswer::Waits) | None) | Err(_) => PlaceEnd::Silent,
+            Ok(Some(PlacementReply::There(engine))) => PlacementOutcome::Placed(engine, placed),
+            Ok(Some(PlacementReply::Full { return_ms })) => at_limit(return_ms),
+            Ok(Some(PlacementReply::Nowhere)) => PlacementOutcome::NoCandidate,
+            Ok(Some(PlacementReply::Waits) | None) | Err(_) => PlacementOutcome::NoReply,
         }
     }
 
@@ -134,7 +134,7 @@
     }
 
     /// Handles a peer's demand for a target.
-    pub fn take_ask(
+    pub fn handle_place_request(
         &self,
         cx: &Rc<Traffic>,
         link: &Rc<Link>,
@@ -143,7 +143,7 @@
         demand: Demand<Incarnation>,
     ) {
         let Some(scheduler) = self.scheduler(cx, scheduler) else {
-            link.send(Message::Placed(id, PlaceAnswer::Nowhere));
+            link.send(Message::Placed(id, PlacementReply::Nowhere));
             return;
         };
         let answer = scheduler.submit(cx, &demand);
@@ -180,7 +180,7 @@
     }
 
     /// Handles a peer's report on the progress of its placement.
-    pub fn take_step(&self, cx: &Traffic, from: PeerId, id: PlacementId, step: PlacementStep) {
+    pub fn handle_step(&self, cx: &Traffic, from: PeerId, id: PlacementId, step: PlacementStep) {
         self.peer_queued.borrow_mut().remove(&(from, id));
         let mut peer_placements = self.peer_placements.borrow_mut();
         let placement = match step {
@@ -208,14 +208,14 @@
     }
 
     /// Applies the targets of a new view.
-    pub fn take_targets(&self, cx: &Rc<Traffic>) {
+    pub fn update_targets(&self, cx: &Rc<Traffic>) {
         for scheduler in self.schedulers.borrow().values() {
             scheduler.update_targets(cx);
         }
     }
 
     /// Applies the targets of one service.
-    pub fn take_targets_of(&self, cx: &Rc<Traffic>, service: &str) {
+    pub fn update_service_targets(&self, cx: &Rc<Traffic>, service: &str) {
         let schedulers = self.schedulers.borrow();
         let schedulers = schedulers.iter().filter(|(name, _)| {
             TargetGroup::parse(name).is_some_and(|(known, _)| known == service)
@@ -229,7 +229,7 @@
     cx: &Rc<Traffic>,
     scheduler: Rc<GroupScheduler>,
     demand: Demand<Incarnation>,
-) -> PlaceEnd {
+) -> PlacementOutcome {
     let mut answer = scheduler.submit(cx, &demand);
     if let Decision::MayQueue(until) = answer {
         let (sender, receiver) = oneshot::channel();
@@ -243,15 +243,15 @@
     match answer {
         Decision::Assigned(key, engine) => {
             let handle = SchedulerHandle::Local(cx.clone(), scheduler, key);
-            PlaceEnd::There(engine, Placed::new(handle))
+            PlacementOutcome::Placed(engine, Placement::new(handle))
         }
         Decision::AtLimit { retry_after_ms } => at_limit(retry_after_ms),
-        Decision::MayQueue(_) | Decision::NoCandidate => PlaceEnd::Nowhere,
+        Decision::MayQueue(_) | Decision::NoCandidate => PlacementOutcome::NoCandidate,
     }
 }
 
-fn at_limit(retry_after_ms: u64) -> PlaceEnd {
-    PlaceEnd::Full {
-        return_in: Duration::from_millis(retry_after_ms),
+fn at_limit(retry_after_ms: u64) -> PlacementOutcome {
+    PlacementOutcome::AtLimit {
+        retry_after: Duration::from_millis(retry_after_ms),
     }
 }
--- a/crates/gateway/src/placement/placed.rs
+++ b/crates/gateway/src/placement/placed.rs
@@ -7,7 +7,7 @@
 
 use super::GroupScheduler;
 use crate::peers::{Link, Message, PlacementId, PlacementStep};
-use crate::target_words;
+use crate::target_reports;
 use crate::traffic::Traffic;
 
 /// The scheduler that placed a request, and the placement's key or id there.
@@ -18,14 +18,14 @@
 
 /// A request placed by a scheduler. Dropped before its end is set, it is reported as
 /// abandoned.
-pub struct Placed {
+pub struct Placement {
     scheduler: SchedulerHandle,
     end: PlacementStep,
 }
 
-impl Placed {
+impl Placement {
     pub(super) fn new(scheduler: SchedulerHandle) -> Self {
-        Placed {
+        Placement {
             scheduler,
             end: PlacementStep::Left,
         }
@@ -33,19 +33,19 @@
 
     /// Repeats the target's limit report to a remote scheduler once the target has answered,
     /// as the scheduler may have a new owner that lacks it.
-    pub fn answered(&self, cx: &Traffic, target: &Target) {
+    pub fn repeat_limit_report(&self, cx: &Traffic, target: &Target) {
         if let SchedulerHandle::Peer(link, _) = &self.scheduler {
-            target_words::repeat_limit(cx, target, link);
+            target_reports::resend_limit(cx, target, link);
         }
     }
 
     /// Reports that the prefill is done; called at the first event.
-    pub fn prompt_read(&self) {
+    pub fn prefill_done(&self) {
         self.notify(PlacementStep::PromptRead);
     }
 
     /// Marks the response as complete.
-    pub fn whole(&mut self) {
+    pub fn completed(&mut self) {
         self.end = PlacementStep::Whole;
     }
 
@@ -62,7 +62,7 @@
     }
 }
 
-impl Drop for Placed {
+impl Drop for Placement {
     fn drop(&mut self) {
         self.notify(self.end);
     }
--- a/crates/gateway/src/placement/scheduler.rs
+++ b/crates/gateway/src/placement/scheduler.rs
@@ -10,15 +10,15 @@
 use hollowsail_observe::events;
 use hollowsail_platform::targets::Incarnation;
 use hollowsail_routing::{
-    Demand, DemandKey, DemandQueue, DeskEngine, EngineDesk, Millis, PlacementEnd, PlacementKey,
-    Turn,
+    Demand, DemandKey, DemandQueue, EngineScheduler, Millis, PlacementEnd, PlacementKey,
+    QueueEstimate, SchedulableEngine,
 };
 use hollowsail_targets::Target;
 use tokio::sync::oneshot;
 
 use super::MAX_GROUP_ENGINES;
-use crate::owned_since::OwnedSince;
-use crate::peers::{Link, PlaceAnswer, PlacementId, PlacementStep};
+use crate::ownership_age::OwnershipAge;
+use crate::peers::{Link, PlacementId, PlacementReply, PlacementStep};
 use crate::target_group::TargetGroup;
 use crate::traffic::Traffic;
 
@@ -30,9 +30,9 @@
 /// Schedules demands on the targets of one group, on behalf of all entries.
 pub struct GroupScheduler {
     name: String,
-    engines: RefCell<EngineDesk<Incarnation>>,
+    engines: RefCell<EngineScheduler<Incarnation>>,
     queue: RefCell<DemandQueue<QueuedDemand>>,
-    ownership_age: OwnedSince,
+    ownership_age: OwnershipAge,
     /// Some target is warming up or reports a limit.
     has_rate_limits: Cell<bool>,
     is_serving_queue: Cell<bool>,
@@ -66,14 +66,14 @@
 
 impl Decision {
     /// Converts to the message that a peer gets.
-    pub fn to_peer(&self) -> PlaceAnswer {
+    pub fn to_peer(&self) -> PlacementReply {
         match self {
-            Decision::Assigned(_, engine) => PlaceAnswer::There(engine.clone()),
-            Decision::MayQueue(_) => PlaceAnswer::Waits,
-            Decision::AtLimit { retry_after_ms } => PlaceAnswer::Full {
+            Decision::Assigned(_, engine) => PlacementReply::There(engine.clone()),
+            Decision::MayQueue(_) => PlacementReply::Waits,
+            Decision::AtLimit { retry_after_ms } => PlacementReply::Full {
                 return_ms: *retry_after_ms,
             },
-            Decision::NoCandidate => PlaceAnswer::Nowhere,
+            Decision::NoCandidate => PlacementReply::Nowhere,
         }
     }
 }
@@ -85,7 +85,7 @@
             name: name.to_string(),
             engines: RefCell::default(),
             queue: RefCell::default(),
-            ownership_age: OwnedSince::default(),
+            ownership_age: OwnershipAge::default(),
             has_rate_limits: Cell::new(false),
             is_serving_queue: Cell::new(false),
             last_sweep_ms: Cell::new(0),
@@ -96,10 +96,12 @@
     pub fn update_targets(&self, cx: &Rc<Traffic>) {
         self.update_limit_share(cx);
         if let Some((service, group)) = TargetGroup::parse(&self.name) {
-            let targets = cx.rollouts.in_use(cx, service, &cx.targets_named(service));
+            let targets = cx
+                .rollouts
+                .eligible_targets(cx, service, &cx.targets_named(service));
             let targets = group.targets(&targets, MAX_GROUP_ENGINES);
             self.has_rate_limits
-                .set(targets.iter().any(|target| target.is_rationed()));
+                .set(targets.iter().any(|target| target.is_rate_limited()));
             self.engines
                 .borrow_mut()
                 .set_engines(cx.clock.now(), &schedulable_engines(&targets));
@@ -124,9 +126,9 @@
                 return Decision::Assigned(key, engine);
             }
         }
-        let turn = self.engines.borrow().turn(now, demand, ahead);
+        let turn = self.engines.borrow().queue_estimate(now, demand, ahead);
         match turn {
-            Some(turn) if turn.in_ms <= demand.waits_ms => {
+            Some(turn) if turn.wait_ms <= demand.waits_ms => {
                 Decision::MayQueue(now + demand.waits_ms)
             }
             turn => self.refusal(now, turn),
@@ -198,7 +200,10 @@
         let expired = self.queue.borrow_mut().take_expired(now);
         for queued in expired {
             let ahead = self.queue.borrow().ahead_of(queued.demand.urgency);
-            let turn = self.engines.borrow().turn(now, &queued.demand, ahead);
+            let turn = self
+                .engines
+                .borrow()
+                .queue_estimate(now, &queued.demand, ahead);
             let answer = self.refusal(now, turn);
             self.answer(cx, queued, answer);
         }
@@ -211,13 +216,13 @@
     }
 
     /// Answer to a demand that can't be placed within its wait time.
-    fn refusal(&self, now: Millis, turn: Option<Turn>) -> Decision {
+    fn refusal(&self, now: Millis, turn: Option<QueueEstimate>) -> Decision {
         let Some(turn) = turn else {
             return Decision::NoCandidate;
         };
         let mut queue = self.queue.borrow_mut();
         Decision::AtLimit {
-            retry_after_ms: queue.return_in(now, turn.in_ms, turn.per_s),
+            retry_after_ms: queue.retry_after_ms(now, turn.wait_ms, turn.per_s),
         }
     }
 
@@ -252,12 +257,12 @@
         let ended = |end| self.engines.borrow_mut().ended(key, end, now);
         let ejected = match step {
             PlacementStep::PromptRead => {
-                self.engines.borrow_mut().prompt_read(key, now);
+                self.engines.borrow_mut().prefill_done(key, now);
                 return;
             }
             PlacementStep::Whole => ended(PlacementEnd::Whole),
             PlacementStep::Failed => ended(PlacementEnd::Failed),
-            PlacementStep::Left => ended(PlacementEnd::Left),
+            PlacementStep::Left => ended(PlacementEnd::Abandoned),
         };
         self.log_ejected(cx, &ejected);
     }
@@ -270,13 +275,13 @@
     }
 }
 
-fn schedulable_engines(targets: &[Rc<Target>]) -> Vec<DeskEngine<Incarnation>> {
-    let engines = targets.iter().map(|target| DeskEngine {
+fn schedulable_engines(targets: &[Rc<Target>]) -> Vec<SchedulableEngine<Incarnation>> {
+    let engines = targets.iter().map(|target| SchedulableEngine {
         key: target.incarnation().clone(),
         slots: target.record.slots,
         hall: target.record.hall.clone(),
         version: target.record.version.clone(),
-        cold: target.cold.get(),
+        warm_up: target.warm_up.get(),
         limit: target.limit.get(),
     });
     engines.collect()
--- a/crates/gateway/src/pools/batcher/hand_over.rs
+++ b/crates/gateway/src/pools/batcher/hand_over.rs
@@ -9,7 +9,7 @@
 
 use super::results::ResultRecord;
 use super::{Batcher, LocalOutcome, Reply};
-use crate::peers::{self, Link, Message, WorkerAtHandOver};
+use crate::peers::{self, Link, Message, WorkerHandover};
 
 /// Assumed retention of results that the previous owner had produced, which this entry can't
 /// track; about two calls of later stages.
@@ -33,7 +33,7 @@
                 Some(Reply::Local(sender)) => drop(sender.send(LocalOutcome::Moved)),
                 Some(Reply::Peer(requester)) => {
                     self.remove_peer_piece(&requester);
-                    let moved = Message::Ended(requester.id, peers::PieceEnd::Moved);
+                    let moved = Message::Ended(requester.id, peers::PieceOutcome::Moved);
                     requester.link.send(moved);
                 }
                 None => {}
@@ -41,12 +41,12 @@
         }
     }
 
-    fn workers_at_hand_over(&self) -> Vec<WorkerAtHandOver> {
+    fn workers_at_hand_over(&self) -> Vec<WorkerHandover> {
         let now = self.now();
         let queue = self.queue.borrow();
         let workers = self.workers.borrow();
         let states = workers.by_incarnation.iter().filter_map(|(target, key)| {
-            Some(WorkerAtHandOver {
+            Some(WorkerHandover {
                 target: target.clone(),
                 state: queue.worker_state(*key, now)?,
             })
@@ -55,7 +55,7 @@
     }
 
     /// Accounts for the calls and results of the previous owner at the workers.
-    pub fn take_over(self: &Rc<Self>, workers: &[WorkerAtHandOver]) {
+    pub fn take_over(self: &Rc<Self>, workers: &[WorkerHandover]) {
         let now = self.now();
         for handed_over in workers {
             let known = self.workers.borrow().worker(&handed_over.target);
--- a/crates/gateway/src/pools/batcher/mod.rs
+++ b/crates/gateway/src/pools/batcher/mod.rs
@@ -26,9 +26,9 @@
 use self::replies::Reply;
 use self::results::ResultRecord;
 use self::workers::Workers;
-use super::{call, Requester, Wanted};
+use super::{call, PieceRequest, Requester};
 use crate::mechanisms::Mechanism;
-use crate::owned_since::OwnedSince;
+use crate::ownership_age::OwnershipAge;
 use crate::peers::{Link, PeerId, PieceId};
 use crate::traffic::Traffic;
 
@@ -68,7 +68,7 @@
     retention_ms: Cell<Millis>,
     /// Some worker reports a limit.
     has_limits: Cell<bool>,
-    ownership_age: OwnedSince,
+    ownership_age: OwnershipAge,
     is_pump_scheduled: Cell<bool>,
     is_ticking: Cell<bool>,
     is_releasing: Cell<bool>,
@@ -88,10 +88,10 @@
 
 fn rules_of(pool: &StagePool) -> PoolRules {
     PoolRules {
-        running: pool.running as usize,
+        running: pool.max_running as usize,
         batch: pool.batch,
-        call_ms: pool.call.as_secs_f64() * 1000.0,
-        piece_ms: pool.piece.as_secs_f64() * 1000.0,
+        call_ms: pool.call_time.as_secs_f64() * 1000.0,
+        piece_ms: pool.piece_time.as_secs_f64() * 1000.0,
         result_bytes: pool.result_bytes,
     }
 }
@@ -108,9 +108,9 @@
             peer_pieces: RefCell::default(),
             pending_releases: RefCell::default(),
             load_sent: RefCell::default(),
-            retention_ms: Cell::new(pool.kept_for.as_millis() as Millis),
+            retention_ms: Cell::new(pool.retention.as_millis() as Millis),
             has_limits: Cell::new(false),
-            ownership_age: OwnedSince::default(),
+            ownership_age: OwnershipAge::default(),
             is_pump_scheduled: Cell::new(false),
             is_ticking: Cell::new(false),
             is_releasing: Cell::new(false),
@@ -130,7 +130,7 @@
     /// Sets the rules for future calls.
     pub fn set_rules(&self, pool: &StagePool) {
         self.queue.borrow_mut().set_rules(rules_of(pool));
-        self.retention_ms.set(pool.kept_for.as_millis() as Millis);
+        self.retention_ms.set(pool.retention.as_millis() as Millis);
     }
 
     fn has(&self, mechanism: Mechanism) -> bool {
@@ -146,7 +146,7 @@
     }
 
     /// Produces a piece. Dropping the future cancels it.
-    pub(super) async fn produce(self: &Rc<Self>, wanted: Wanted) -> LocalOutcome {
+    pub(super) async fn produce(self: &Rc<Self>, wanted: PieceRequest) -> LocalOutcome {
         let (sender, result) = oneshot::channel();
         let key = self.push(wanted, Reply::Local(sender));
         let _submitted = SubmittedPiece {
@@ -159,13 +159,13 @@
     }
 
     /// Produces a piece for a peer.
-    pub fn accept_from_peer(self: &Rc<Self>, link: Rc<Link>, id: PieceId, wanted: Wanted) {
+    pub fn accept_from_peer(self: &Rc<Self>, link: Rc<Link>, id: PieceId, wanted: PieceRequest) {
         let peer = link.peer.id;
         let key = self.push(wanted, Reply::Peer(Requester { link, id }));
         self.peer_pieces.borrow_mut().insert((peer, id), key);
     }
 
-    fn push(self: &Rc<Self>, wanted: Wanted, reply: Reply) -> PieceKey {
+    fn push(self: &Rc<Self>, wanted: PieceRequest, reply: Reply) -> PieceKey {
         let now = self.now();
         let hall = wanted
             .hall
@@ -195,7 +195,7 @@
         };
         let key = self.queue.borrow_mut().push(order, job, now);
         if self.is_suspect(wanted.request) {
-            self.queue.borrow_mut().set_alone(key);
+            self.queue.borrow_mut().isolate(key);
         }
         self.pump_soon();
         key
--- a/crates/gateway/src/pools/batcher/replies.rs
+++ b/crates/gateway/src/pools/batcher/replies.rs
@@ -12,8 +12,8 @@
 
 use super::results::ResultRecord;
 use super::Batcher;
-use crate::peers::{Link, Made, Message, PeerId, PieceEnd, PieceId};
-use crate::pools::{HeldResult, Requester};
+use crate::peers::{CompletedPiece, Link, Message, PeerId, PieceId, PieceOutcome};
+use crate::pools::{Requester, RetainedResult};
 
 /// Shortest interval between two load reports to a peer.
 const LOAD_INTERVAL_MS: Millis = 60;
@@ -26,7 +26,7 @@
 
 /// Outcome of a piece of a local request.
 pub(in crate::pools) enum LocalOutcome {
-    Completed(HeldResult),
+    Completed(RetainedResult),
     Failed(PieceFailure),
     /// Not started; the queue has another owner now.
     Moved,
@@ -39,7 +39,9 @@
         match job.map(|job| job.reply) {
             // The requester may have stopped waiting.
             Some(Reply::Local(sender)) => drop(sender.send(LocalOutcome::Failed(failure))),
-            Some(Reply::Peer(requester)) => self.answer_peer(&requester, PieceEnd::Failed(failure)),
+            Some(Reply::Peer(requester)) => {
+                self.answer_peer(&requester, PieceOutcome::Failed(failure))
+            }
             None => {}
         }
     }
@@ -54,7 +56,7 @@
         handle: String,
     ) {
         let bytes = piece.result_bytes;
-        let made = Made {
+        let made = CompletedPiece {
             handle: handle.clone(),
             target: target.incarnation().clone(),
             addr: target.record.addr,
@@ -78,14 +80,14 @@
         match reply {
             // If the request has stopped waiting, dropping the result releases it.
             Some(Reply::Local(sender)) => drop(sender.send(LocalOutcome::Completed(
-                HeldResult::local(self.clone(), made, bytes),
+                RetainedResult::local(self.clone(), made, bytes),
             ))),
-            Some(Reply::Peer(requester)) => self.answer_peer(&requester, PieceEnd::Made(made)),
+            Some(Reply::Peer(requester)) => self.answer_peer(&requester, PieceOutcome::Made(made)),
             None => self.release(&handle),
         }
     }
 
-    fn answer_peer(&self, requester: &Requester, end: PieceEnd) {
+    fn answer_peer(&self, requester: &Requester, end: PieceOutcome) {
         self.remove_peer_piece(requester);
         self.send_load(&requester.link);
         requester.link.send(Message::Ended(requester.id, end));
--- a/crates/gateway/src/pools/batcher/results.rs
+++ b/crates/gateway/src/pools/batcher/results.rs
@@ -69,7 +69,9 @@
         self.results.borrow_mut().retain(|_, result| {
             let is_kept = result.expires > now;
             if !is_kept {
-                self.queue.borrow_mut().free(result.worker, result.bytes);
+                self.queue
+                    .borrow_mut()
+                    .release_memory(result.worker, result.bytes);
             }
             is_kept
         });
@@ -81,11 +83,11 @@
             return;
         };
         let mut queue = self.queue.borrow_mut();
-        queue.free(result.worker, result.bytes);
+        queue.release_memory(result.worker, result.bytes);
         if let Some(called_at) = result.called_at {
             let retained_ms = self.now().saturating_sub(called_at);
-            queue.record_stay(result.bytes, retained_ms);
-            metrics::record_stay(&self.name, Duration::from_millis(retained_ms));
+            queue.record_retention(result.bytes, retained_ms);
+            metrics::record_retention(&self.name, Duration::from_millis(retained_ms));
         }
         drop(queue);
         self.schedule_release(result.worker, handle);
@@ -135,7 +137,7 @@
         let workers: Vec<WorkerKey> = pending_releases.keys().copied().collect();
         let open: Vec<WorkerKey> = workers
             .into_iter()
-            .filter(|worker| queue.begin_free(*worker, now))
+            .filter(|worker| queue.try_start_release(*worker, now))
             .collect();
         drop(queue);
         for worker in open {
--- a/crates/gateway/src/pools/batcher/workers.rs
+++ b/crates/gateway/src/pools/batcher/workers.rs
@@ -44,8 +44,8 @@
 impl Batcher {
     /// Stops calls to a worker while its target is backing off.
     pub(in crate::pools) fn apply_backoff(&self, cx: &Traffic, worker: WorkerKey, target: &Target) {
-        if let Some(until) = cx.rests_until(target) {
-            self.queue.borrow_mut().rest(worker, until);
+        if let Some(until) = cx.backoff_until(target) {
+            self.queue.borrow_mut().back_off(worker, until);
         }
     }
 
--- a/crates/gateway/src/pools/call.rs
+++ b/crates/gateway/src/pools/call.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hollowsail_clock::Moment;
+use hollowsail_clock::BootInstant;
 use hollowsail_observe::events;
 use hollowsail_platform::pieces::{self, Piece, PieceFailure, PieceResult};
 use hollowsail_rollout::Outcome;
@@ -76,7 +76,7 @@
     target: Rc<Target>,
 ) {
     let begun_ms = cx.clock.now();
-    let sent_at = Moment::now();
+    let sent_at = BootInstant::now();
     let sent_pieces = awaited_pieces(&batcher, &started);
     let result =
         match tokio::time::timeout(CALL_TIMEOUT, exchange(&cx, &target, &sent_pieces)).await {
@@ -118,7 +118,7 @@
     let ms = took.as_secs_f64() * 1_000.0;
     match result {
         Ok(_) => Some(Outcome::Answered(ms)),
-        Err(CallError::TimedOut) => Some(Outcome::Silent(ms)),
+        Err(CallError::TimedOut) => Some(Outcome::TimedOut(ms)),
         Err(CallError::Refused { .. }) => None,
         Err(err @ CallError::Send { .. }) => err.is_cut_off().then_some(Outcome::Broken),
         Err(CallError::CutOff { .. }) => Some(Outcome::Broken),
@@ -184,7 +184,7 @@
     if sent_pieces.is_empty() {
         return Ok(Vec::new());
     }
-    let req = pieces::run_call(
+    let req = pieces::run_request(
         target.incarnation(),
         sent_pieces.iter().map(|sent| &sent.piece),
     );
@@ -200,7 +200,8 @@
         return Err(CallError::Status { status });
     }
     let json = body.ok_or(CallError::Status { status })?;
-    let results = pieces::read_results(&json).map_err(|source| CallError::Malformed { source })?;
+    let results =
+        pieces::decode_results(&json).map_err(|source| CallError::Malformed { source })?;
     if results.len() != sent_pieces.len() {
         return Err(CallError::Count {
             got: results.len(),
@@ -222,12 +223,14 @@
     for piece in &started.pieces {
         if !sent_pieces.iter().any(|sent| sent.started.key == piece.key) {
             let mut queue = batcher.queue.borrow_mut();
-            queue.free(started.worker, piece.result_bytes);
+            queue.release_memory(started.worker, piece.result_bytes);
         }
     }
     for (sent, result) in sent_pieces.iter().zip(results) {
         match result {
-            PieceResult::Made(handle) => batcher.completed(sent.started, started, target, handle),
+            PieceResult::Completed(handle) => {
+                batcher.completed(sent.started, started, target, handle)
+            }
             PieceResult::Failed(failure) => {
                 piece_failed(cx, batcher, started.worker, target, sent, failure);
             }
@@ -246,9 +249,9 @@
 ) {
     let StartedPiece { key, result_bytes } = sent.started;
     let mut queue = batcher.queue.borrow_mut();
-    queue.free(worker, result_bytes);
+    queue.release_memory(worker, result_bytes);
     match failure {
-        PieceFailure::NoRoom => queue.no_room(worker, cx.clock.now()),
+        PieceFailure::NoRoom => queue.mark_memory_full(worker, cx.clock.now()),
         // Every other failure counts towards the limit of the piece.
         _ => queue
             .job_mut(key)
@@ -285,7 +288,7 @@
             job.failures += u32::from(end == CallEnd::Failed);
             job.failures < MAX_FAILURES
                 && job.crashes_alone < MAX_CRASHES_ALONE
-                && cx.crashes.judge(cx, || job.request).is_ok()
+                && cx.crashes.check(cx, || job.request).is_ok()
         });
         if may_retry {
             queue.requeue(key);
@@ -299,10 +302,10 @@
 /// Releases results at their producer, after its backoff if it is backing off. Best effort:
 /// the producer also drops them after its retention time.
 pub(super) async fn release(cx: Rc<Traffic>, target: Rc<Target>, handles: Vec<String>) {
-    if let Some(until) = cx.rests_until(&target) {
+    if let Some(until) = cx.backoff_until(&target) {
         tokio::time::sleep_until(cx.clock.timer(until).into()).await;
     }
-    let req = pieces::free_call(target.incarnation(), &handles);
+    let req = pieces::release_request(target.incarnation(), &handles);
     let call = target_calls::call(&cx, &target, req, MAX_RESPONSE_BYTES);
     if tokio::time::timeout(RELEASE_TIMEOUT, call).await.is_err() {
         log::debug!(
--- a/crates/gateway/src/pools/mod.rs
+++ b/crates/gateway/src/pools/mod.rs
@@ -1,7 +1,7 @@
 //! Production of pieces by the targets of stage services.
 //!
 //! The targets of a service are split into queues. Each queue is owned by one entry
-//! ([`crate::peers`]), so that pieces of all entries share calls. [`Pools::make`] sends a piece
+//! ([`crate::peers`]), so that pieces of all entries share calls. [`Pools::produce`] sends a piece
 //! to its owner, whose [`Batcher`] has it produced. If the owner is lost, the piece goes to the
 //! next owner; producing a piece twice only costs time.
 
@@ -22,8 +22,8 @@
 
 use crate::mechanisms::Mechanism;
 use crate::peers::{
-    self, Link, MakePiece, Message, Owner, PeerId, PeerRecord, PieceId, SpentResult,
-    WorkerAtHandOver,
+    self, Link, MakePieceRequest, Message, Owner, PeerId, PeerRecord, PieceId, UnneededResult,
+    WorkerHandover,
 };
 use crate::target_group::TargetGroup;
 use crate::traffic::Traffic;
@@ -31,7 +31,7 @@
 use batcher::LocalOutcome;
 
 pub use batcher::Batcher;
-pub use retained::HeldResult;
+pub use retained::RetainedResult;
 
 /// Maximum targets in a queue: enough that one in the preferred hall is usually about to
 /// become free and that a recovering service isn't split again, few enough for one owner.
@@ -42,11 +42,11 @@
 const MAX_OWNERS: u32 = 8;
 
 /// Outcome of producing a piece.
-pub type PieceEnd = Result<HeldResult, PieceFailure>;
+pub type PieceOutcome = Result<RetainedResult, PieceFailure>;
 
 /// A piece to produce.
 #[derive(Debug, Clone)]
-pub struct Wanted {
+pub struct PieceRequest {
     pub piece: Piece,
     /// Digest of its request's content; equal requests have equal digests.
     pub request: RequestDigest,
@@ -83,7 +83,7 @@
 
 fn queue_targets(cx: &Traffic, service: &str, group: TargetGroup) -> Vec<Rc<Target>> {
     let targets = cx.targets_named(service);
-    let in_use = cx.rollouts.in_use_by_count(cx, service, &targets);
+    let in_use = cx.rollouts.eligible_targets_by_count(cx, service, &targets);
     group.targets(&in_use, MAX_QUEUE_TARGETS)
 }
 
@@ -96,15 +96,15 @@
 
 impl Pools {
     /// Has a piece produced by the owner of its queue. Dropping the future cancels it.
-    pub async fn make(
+    pub async fn produce(
         &self,
         cx: &Rc<Traffic>,
         deployment: &Deployment,
         service: ServiceKey,
-        wanted: Wanted,
-    ) -> PieceEnd {
+        wanted: PieceRequest,
+    ) -> PieceOutcome {
         let name = &deployment.service(service).name;
-        cx.peers.settled(cx).await;
+        cx.peers.wait_until_settled(cx).await;
         for _ in 0..MAX_OWNERS {
             let queue = queue_for(cx, name, &wanted.piece.request_id);
             match owner_of(cx, &queue) {
@@ -118,14 +118,14 @@
                 }
                 Owner::Peer(link) => {
                     let message = self.message(cx, &queue, &wanted);
-                    match link.make(message).await {
-                        Ok(peers::PieceEnd::Made(made)) => {
+                    match link.request_piece(message).await {
+                        Ok(peers::PieceOutcome::Made(made)) => {
                             let bytes = wanted.result_bytes;
-                            return Ok(HeldResult::remote(link, queue, made, bytes));
+                            return Ok(RetainedResult::remote(link, queue, made, bytes));
                         }
-                        Ok(peers::PieceEnd::Failed(failure)) => return Err(failure),
+                        Ok(peers::PieceOutcome::Failed(failure)) => return Err(failure),
                         // Try the next owner.
-                        Ok(peers::PieceEnd::Moved) | Err(_) => {}
+                        Ok(peers::PieceOutcome::Moved) | Err(_) => {}
                     }
                 }
             }
@@ -133,11 +133,11 @@
         Err(PieceFailure::Failed)
     }
 
-    fn message(&self, cx: &Traffic, queue: &str, wanted: &Wanted) -> MakePiece {
+    fn message(&self, cx: &Traffic, queue: &str, wanted: &PieceRequest) -> MakePieceRequest {
         let number = self.last_piece_id.get() + 1;
         self.last_piece_id.set(number);
         let now = cx.clock.now();
-        MakePiece {
+        MakePieceRequest {
             id: PieceId(number),
             queue: queue.to_string(),
             piece: wanted.piece.clone(),
@@ -153,7 +153,7 @@
     }
 
     /// Stores an owner's report of its queue's load.
-    pub fn take_load(&self, cx: &Traffic, queue: String, load: QueueLoad) {
+    pub fn update_load(&self, cx: &Traffic, queue: String, load: QueueLoad) {
         self.loads
             .borrow_mut()
             .insert(queue, (cx.clock.now(), load));
@@ -191,20 +191,20 @@
 
     /// Accepts a piece from a peer. Sends it back if this entry is lagging and another one owns
     /// the queue.
-    pub fn take_piece(&self, cx: &Rc<Traffic>, from: &PeerRecord, make: MakePiece) {
+    pub fn accept_piece(&self, cx: &Rc<Traffic>, from: &PeerRecord, make: MakePieceRequest) {
         let link = cx.peers.link_to(cx, from);
-        if cx.pace.get().is_slow() && matches!(owner_of(cx, &make.queue), Owner::Peer(_)) {
-            link.send(Message::Ended(make.id, peers::PieceEnd::Moved));
+        if cx.lag.get().is_lagging() && matches!(owner_of(cx, &make.queue), Owner::Peer(_)) {
+            link.send(Message::Ended(make.id, peers::PieceOutcome::Moved));
             return;
         }
         let Some(batcher) = self.batcher(cx, &make.queue) else {
             // The service isn't, or is no longer, in this entry's configuration.
-            let end = peers::PieceEnd::Failed(PieceFailure::Failed);
+            let end = peers::PieceOutcome::Failed(PieceFailure::Failed);
             link.send(Message::Ended(make.id, end));
             return;
         };
         let now = cx.clock.now();
-        let wanted = Wanted {
+        let wanted = PieceRequest {
             piece: make.piece,
             request: make.request,
             priority: make.priority,
@@ -219,21 +219,21 @@
     }
 
     /// Cancels a peer's piece, or releases its result if the piece is complete.
-    pub fn give_up_piece(&self, from: PeerId, id: PieceId) {
+    pub fn cancel_piece(&self, from: PeerId, id: PieceId) {
         let all = self.all();
         all.iter()
             .for_each(|batcher| batcher.cancel_piece(from, id));
     }
 
     /// Releases a result of a queue, also one that an earlier owner had produced.
-    pub fn free(&self, cx: &Rc<Traffic>, spent: &SpentResult) {
+    pub fn release(&self, cx: &Rc<Traffic>, spent: &UnneededResult) {
         if let Some(batcher) = self.batcher(cx, &spent.queue) {
             batcher.release_at(&spent.target, &spent.handle);
         }
     }
 
     /// Takes over the state of a queue's workers from the previous owner.
-    pub fn take_over(&self, cx: &Rc<Traffic>, queue: &str, workers: &[WorkerAtHandOver]) {
+    pub fn take_over(&self, cx: &Rc<Traffic>, queue: &str, workers: &[WorkerHandover]) {
         if let Some(batcher) = self.batcher(cx, queue) {
             batcher.take_over(workers);
         }
@@ -269,12 +269,12 @@
     }
 
     /// Applies the pool rules and targets of a new view.
-    pub fn take_targets(&self, cx: &Rc<Traffic>) {
+    pub fn update_targets(&self, cx: &Rc<Traffic>) {
         self.update_targets_where(cx, |_| true);
     }
 
     /// Applies the pool rules and targets of one service.
-    pub fn take_targets_of(&self, cx: &Rc<Traffic>, service: &str) {
+    pub fn update_service_targets(&self, cx: &Rc<Traffic>, service: &str) {
         self.update_targets_where(cx, |known| known == service);
     }
 
--- a/crates/gateway/src/pools/retained.rs
+++ b/crates/gateway/src/pools/retained.rs
@@ -1,11 +1,11 @@
 //! A result that its producer retains until it is released.
 //!
-//! Dropping a [`HeldResult`] releases it through the owner of the queue that produced it.
+//! Dropping a [`RetainedResult`] releases it through the owner of the queue that produced it.
 
 use std::rc::Rc;
 
 use super::batcher::Batcher;
-use crate::peers::{Link, Made, Message, SpentResult};
+use crate::peers::{CompletedPiece, Link, Message, UnneededResult};
 
 /// The owner of the queue that produced a result.
 enum Owner {
@@ -14,17 +14,17 @@
 }
 
 /// A retained result, released when dropped.
-pub struct HeldResult {
+pub struct RetainedResult {
     owner: Owner,
-    made: Made,
+    made: CompletedPiece,
     /// Estimated size.
     pub bytes: u64,
 }
 
-impl HeldResult {
+impl RetainedResult {
     /// Creates a result of a queue that this entry owns.
-    pub(super) fn local(batcher: Rc<Batcher>, made: Made, bytes: u64) -> Self {
-        HeldResult {
+    pub(super) fn local(batcher: Rc<Batcher>, made: CompletedPiece, bytes: u64) -> Self {
+        RetainedResult {
             owner: Owner::Local(batcher),
             made,
             bytes,
@@ -32,8 +32,8 @@
     }
 
     /// Creates a result of a queue that a peer owns.
-    pub(super) fn remote(link: Rc<Link>, queue: String, made: Made, bytes: u64) -> Self {
-        HeldResult {
+    pub(super) fn remote(link: Rc<Link>, queue: String, made: CompletedPiece, bytes: u64) -> Self {
+        RetainedResult {
             owner: Owner::Peer { link, queue },
             made,
             bytes,
@@ -46,7 +46,7 @@
     }
 
     /// Id of the target that produced it.
-    pub fn maker(&self) -> &str {
+    pub fn producer(&self) -> &str {
         &self.made.target.id
     }
 
@@ -56,11 +56,11 @@
     }
 }
 
-impl Drop for HeldResult {
+impl Drop for RetainedResult {
     fn drop(&mut self) {
         match &self.owner {
             Owner::Local(batcher) => batcher.release(&self.made.handle),
-            Owner::Peer { link, queue } => link.send(Message::Free(SpentResult {
+            Owner::Peer { link, queue } => link.send(Message::Free(UnneededResult {
                 queue: queue.clone(),
                 target: self.made.target.clone(),
                 handle: std::mem::take(&mut self.made.handle),
--- a/crates/gateway/src/pools/worker_crash.rs
+++ b/crates/gateway/src/pools/worker_crash.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-use hollowsail_clock::Moment;
+use hollowsail_clock::BootInstant;
 use hollowsail_observe::events;
 use hollowsail_routing::RequestDigest;
 use hollowsail_stages::PieceKey;
@@ -15,7 +15,7 @@
 
 use super::batcher::Batcher;
 use super::call::CallPiece;
-use crate::crashes::BrokenRun;
+use crate::crashes::InterruptedRun;
 use crate::traffic::Traffic;
 
 /// Worker crashes after which a piece is isolated. Isolation after the first one would delay
@@ -29,13 +29,13 @@
     batcher: &Batcher,
     target: &Rc<Target>,
     pieces: &[CallPiece],
-    sent: Moment,
+    sent: BootInstant,
 ) {
-    let run = BrokenRun {
+    let run = InterruptedRun {
         sent,
-        ended: Moment::now(),
+        interrupted: BootInstant::now(),
     };
-    if pieces.is_empty() || !target.has_ended().await {
+    if pieces.is_empty() || !target.has_crashed().await {
         return;
     }
     let requests: BTreeSet<RequestDigest> = pieces.iter().map(|piece| piece.request).collect();
@@ -47,7 +47,7 @@
             requests.len(),
         );
         cx.log.line(events::TARGET_ENDED, fields);
-        cx.crashes.target_ended(cx, *request, run);
+        cx.crashes.target_crashed(cx, *request, run);
     }
     for piece in pieces {
         record_crash(batcher, piece.started.key, requests.len() == 1);
@@ -63,6 +63,6 @@
     job.crashes += 1;
     job.crashes_alone += u32::from(is_single_request);
     if job.crashes >= CRASHES_TO_ISOLATE {
-        queue.set_alone(piece);
+        queue.isolate(piece);
     }
 }
--- a/crates/gateway/src/request/admit.rs
+++ b/crates/gateway/src/request/admit.rs
@@ -9,10 +9,10 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use hollowsail_clock::Moment;
+use hollowsail_clock::BootInstant;
 use hollowsail_observe::ErrorKind;
 use hollowsail_platform::deployment::{Deployment, OrganisationKey, Regions, Route, RouteKey};
-use hollowsail_platform::heads::CallerHead;
+use hollowsail_platform::headers::CallerHeaders;
 use hollowsail_routing::RequestDigest;
 use http::request::Parts;
 use http_body_util::BodyExt;
@@ -51,11 +51,11 @@
     /// Combines `priority` with the route's priority as a tie-breaker; 0 is the most urgent.
     pub urgency: u8,
     pub head: Parts,
-    pub caller: CallerHead,
+    pub caller: CallerHeaders,
     pub body: Bytes,
-    pub arrived: Moment,
+    pub arrived: BootInstant,
     /// Earlier of the caller's deadline and the route's time limit.
-    pub deadline: Moment,
+    pub deadline: BootInstant,
     /// Data halls in which it may run and its results may be stored; `None` allows all.
     pub halls: Option<Vec<String>>,
     /// Derived on first use, because few requests need it.
@@ -80,18 +80,18 @@
 
     /// Time until the deadline.
     pub fn remaining(&self) -> Duration {
-        self.deadline.saturating_since(Moment::now())
+        self.deadline.saturating_since(BootInstant::now())
     }
 
     /// Time at which the route's target latency is reached.
-    pub fn due(&self) -> Moment {
+    pub fn due(&self) -> BootInstant {
         self.arrived + self.route().target_latency
     }
 
     /// How long it may wait for a target with capacity and still meet the target latency;
     /// once that has passed, a share of the remaining time.
     pub fn max_wait(&self) -> Duration {
-        let until_due = self.due().saturating_since(Moment::now());
+        let until_due = self.due().saturating_since(BootInstant::now());
         match until_due.is_zero() {
             true => self.remaining().mul_f64(OVERDUE_TARGET_WAIT_SHARE),
             false => until_due.mul_f64(TARGET_WAIT_SHARE).min(self.remaining()),
@@ -99,8 +99,8 @@
     }
 
     /// Time at which the caller disconnects unless the answer has started.
-    pub fn answer_deadline(&self) -> Moment {
-        let event_timeout = self.route().patience;
+    pub fn answer_deadline(&self) -> BootInstant {
+        let event_timeout = self.route().event_timeout;
         event_timeout.map_or(self.deadline, |event_timeout| {
             self.deadline.min(self.arrived + event_timeout)
         })
@@ -108,7 +108,7 @@
 
     /// Time at which its stages are cancelled. Early enough for the caller to receive the
     /// refusal and to retry.
-    pub fn stage_deadline(&self) -> Moment {
+    pub fn stage_deadline(&self) -> BootInstant {
         let until_answer = self.answer_deadline() - self.arrived;
         let total = self.deadline - self.arrived;
         let max_time = until_answer
@@ -118,9 +118,9 @@
     }
 
     /// Time by which a stream that was interrupted just now has to be resumed.
-    pub fn resume_deadline(&self) -> Moment {
-        let now = Moment::now();
-        let event_timeout = self.route().patience;
+    pub fn resume_deadline(&self) -> BootInstant {
+        let now = BootInstant::now();
+        let event_timeout = self.route().event_timeout;
         event_timeout.map_or(self.deadline, |event_timeout| {
             self.deadline
                 .min(now + event_timeout.mul_f64(EVENT_TIMEOUT_SHARE))
@@ -157,9 +157,9 @@
     cx: &Rc<Traffic>,
     head: Parts,
     body: Incoming,
-    arrived: Moment,
+    arrived: BootInstant,
 ) -> Result<Admitted, Rejected> {
-    let caller = CallerHead::read(&head.headers).map_err(|fault| Rejected {
+    let caller = CallerHeaders::read(&head.headers).map_err(|fault| Rejected {
         request_id: None,
         refusal: Refusal::new(
             ErrorKind::BadRequest,
@@ -173,9 +173,9 @@
     let deployment = deployment(cx).await.map_err(reject)?;
     let route = find_route(&deployment, &head).map_err(reject)?;
     let organisation = find_organisation(&deployment, route, &caller).map_err(reject)?;
-    let longest = deployment.route(route).longest;
+    let longest = deployment.route(route).timeout;
     let deadline = arrived + caller.deadline.map_or(longest, |own| own.min(longest));
-    let max_bytes = deployment.limits.body_bytes;
+    let max_bytes = deployment.limits.max_body_bytes;
     let body = read_body(body, max_bytes, deadline).await.map_err(reject)?;
     let halls = allowed_halls(cx, &deployment, route, organisation);
     let own_priority = organisation.and_then(|key| deployment.organisation(key).priority);
@@ -211,7 +211,7 @@
 ) -> Option<Vec<String>> {
     let route_regions = &deployment.route(route).regions;
     let regions = match organisation {
-        Some(key) => route_regions.and(&deployment.organisation(key).regions),
+        Some(key) => route_regions.intersection(&deployment.organisation(key).regions),
         None => route_regions.clone(),
     };
     if regions == Regions::All {
@@ -219,7 +219,7 @@
     }
     let settings = cx.settings();
     let halls = settings.regions.iter();
-    let allowed = halls.filter(|(_, region)| regions.contain(region));
+    let allowed = halls.filter(|(_, region)| regions.contains(region));
     Some(allowed.map(|(hall, _)| hall.clone()).collect())
 }
 
@@ -233,9 +233,9 @@
 async fn deployment(cx: &Rc<Traffic>) -> Result<Arc<Deployment>, Refusal> {
     if cx.stopping.get() == Stopping::RefusingNew {
         let refusal = Refusal::new(ErrorKind::Stopping, "this entry is shutting down");
-        return Err(refusal.come_back_after(STOPPING_RETRY_AFTER));
+        return Err(refusal.with_retry_after(STOPPING_RETRY_AFTER));
     }
-    match tokio::time::timeout(CONFIGURATION_TIMEOUT, cx.first_deployment()).await {
+    match tokio::time::timeout(CONFIGURATION_TIMEOUT, cx.wait_for_deployment()).await {
         Ok(deployment) => Ok(deployment),
         Err(_) => {
             let detail = format!(
@@ -266,7 +266,7 @@
 fn find_organisation(
     deployment: &Deployment,
     route: RouteKey,
-    caller: &CallerHead,
+    caller: &CallerHeaders,
 ) -> Result<Option<OrganisationKey>, Refusal> {
     let organisation = caller
         .api_key
@@ -283,7 +283,7 @@
 async fn read_body(
     mut body: Incoming,
     max_bytes: usize,
-    deadline: Moment,
+    deadline: BootInstant,
 ) -> Result<Bytes, Refusal> {
     let too_large = || {
         Refusal::new(
@@ -294,7 +294,7 @@
     if body.size_hint().lower() > max_bytes as u64 {
         return Err(too_large());
     }
-    let latest = deadline.min(Moment::now() + MAX_BODY_TIME);
+    let latest = deadline.min(BootInstant::now() + MAX_BODY_TIME);
     let read = async {
         let mut bytes = BytesMut::new();
         while let Some(frame) = body.frame().await {
@@ -313,7 +313,7 @@
         }
         Ok(bytes.freeze())
     };
-    match tokio::time::timeout_at(latest.timer().into(), read).await {
+    match tokio::time::timeout_at(latest.to_instant().into(), read).await {
         Ok(result) => result,
         Err(_) => Err(Refusal::new(
             ErrorKind::BodyLate,
--- a/crates/gateway/src/request/attempt.rs
+++ b/crates/gateway/src/request/attempt.rs
@@ -5,10 +5,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hollowsail_clock::Moment;
+use hollowsail_clock::BootInstant;
 use hollowsail_connect::{AnswerBody, Reuse};
 use hollowsail_platform::deployment::Repeat;
-use hollowsail_platform::heads::{self, ForTarget, TargetHead};
+use hollowsail_platform::headers::{self, TargetHeaders, TargetRequestHeaders};
 use hollowsail_rollout::Outcome;
 use hollowsail_routing::Progress;
 use hollowsail_targets::{InFlight, Target};
@@ -17,7 +17,7 @@
 use http_body_util::Full;
 
 use super::admit::Admitted;
-use crate::placement::Placed;
+use crate::placement::Placement;
 use crate::target_calls;
 use crate::traffic::Traffic;
 
@@ -31,9 +31,9 @@
     pub body: AnswerBody,
     pub target: Rc<Target>,
     pub in_flight: InFlight,
-    pub sent: Moment,
+    pub sent: BootInstant,
     /// Set when a scheduler named the target.
-    pub placed: Option<Placed>,
+    pub placed: Option<Placement>,
 }
 
 /// An attempt without an answer that can be passed on.
@@ -79,7 +79,7 @@
         match self.progress {
             Progress::Broken if self.is_error_answer => Some(Outcome::Failed),
             Progress::Broken if self.is_connection_lost => Some(Outcome::Broken),
-            Progress::Broken => Some(Outcome::Silent(after.as_secs_f64() * 1_000.0)),
+            Progress::Broken => Some(Outcome::TimedOut(after.as_secs_f64() * 1_000.0)),
             _ => None,
         }
     }
@@ -97,9 +97,9 @@
 pub struct AttemptOptions<'a> {
     pub inputs: &'a [String],
     /// The request's deadline; the target gets the remaining time.
-    pub deadline: Moment,
+    pub deadline: BootInstant,
     /// Time at which the attempt fails if the target has not answered.
-    pub timeout_at: Moment,
+    pub timeout_at: BootInstant,
     /// Id of the event after which the stream is resumed.
     pub resume_after: Option<&'a str>,
     /// Prompt tokens to prefill.
@@ -114,26 +114,27 @@
     options: &AttemptOptions<'_>,
 ) -> Result<TargetAnswer, Failure> {
     let in_flight = target.enter(options.prefill_tokens);
-    let sent = Moment::now();
+    let sent = BootInstant::now();
     let req = request_for(admitted, target, options);
     let reuse = match admitted.route().repeat {
         Repeat::Once | Repeat::StreamOnce => Reuse::Within(MAX_REUSED_IDLE),
         Repeat::Safe | Repeat::StreamResumable => Reuse::Any,
     };
     let sending = target_calls::send(cx, target, req, reuse);
-    let answer = match tokio::time::timeout_at(options.timeout_at.timer().into(), sending).await {
-        Ok(Ok(answer)) => answer,
-        Ok(Err(err)) if err.nothing_sent() => {
-            return Err(Failure::new(Progress::NothingSent, err.to_string()))
-        }
-        Ok(Err(err)) => return Err(Failure::connection_lost(err.to_string())),
-        Err(_) => {
-            return Err(Failure::new(
-                Progress::Broken,
-                "the target did not answer before the timeout",
-            ))
-        }
-    };
+    let answer =
+        match tokio::time::timeout_at(options.timeout_at.to_instant().into(), sending).await {
+            Ok(Ok(answer)) => answer,
+            Ok(Err(err)) if err.nothing_sent() => {
+                return Err(Failure::new(Progress::NothingSent, err.to_string()))
+            }
+            Ok(Err(err)) => return Err(Failure::connection_lost(err.to_string())),
+            Err(_) => {
+                return Err(Failure::new(
+                    Progress::Broken,
+                    "the target did not answer before the timeout",
+                ))
+            }
+        };
     let (parts, body) = answer.exchange.into_body(true);
     check(admitted, parts.status, &answer.head)?;
     Ok(TargetAnswer {
@@ -152,9 +153,9 @@
     options: &AttemptOptions<'_>,
 ) -> Request<Full<bytes::Bytes>> {
     let is_engine = admitted.caller.generation.is_some();
-    let to = ForTarget {
+    let to = TargetRequestHeaders {
         incarnation: target.incarnation(),
-        remaining: options.deadline.saturating_since(Moment::now()),
+        remaining: options.deadline.saturating_since(BootInstant::now()),
         organisation: admitted.organisation_name(),
         inputs: options.inputs,
         priority: is_engine.then_some(admitted.priority.min(9)),
@@ -164,12 +165,12 @@
     let mut req = Request::new(Full::from(admitted.body.clone()));
     *req.method_mut() = admitted.head.method.clone();
     *req.uri_mut() = path.map_or_else(http::Uri::default, |path| path.clone().into());
-    *req.headers_mut() = heads::rewrite_for_target(&admitted.head.headers, &to);
+    *req.headers_mut() = headers::rewrite_for_target(&admitted.head.headers, &to);
     req
 }
 
 /// Checks that the answer carries the request's id and, if successful, the seal.
-fn check(admitted: &Admitted, status: StatusCode, head: &TargetHead) -> Result<(), Failure> {
+fn check(admitted: &Admitted, status: StatusCode, head: &TargetHeaders) -> Result<(), Failure> {
     if head.not_run {
         let reason = format!(
             "the target refused the request with status {}",
@@ -180,7 +181,7 @@
             retry_after: head
                 .retry_after
                 .filter(|_| status != StatusCode::SERVICE_UNAVAILABLE),
-            inputs_gone: status == heads::INPUTS_GONE,
+            inputs_gone: status == headers::INPUTS_GONE,
             ..Failure::new(Progress::FinalRefusal, reason)
         });
     }
--- a/crates/gateway/src/request/attempts.rs
+++ b/crates/gateway/src/request/attempts.rs
@@ -5,7 +5,7 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-use hollowsail_clock::Moment;
+use hollowsail_clock::BootInstant;
 use hollowsail_observe::ErrorKind;
 use hollowsail_platform::deployment::ServiceKey;
 use hollowsail_platform::targets::Incarnation;
@@ -33,7 +33,7 @@
     /// Id of the last attempt's target, for the log.
     pub last_target: String,
     /// Time of the last attempt; the request's arrival if there was none.
-    pub last_sent: Moment,
+    pub last_sent: BootInstant,
     last_error: String,
     retry_after: Option<Duration>,
 }
@@ -75,7 +75,7 @@
         };
         let refusal = Refusal::new(kind, self.last_error.clone());
         match self.retry_after {
-            Some(after) => refusal.come_back_after(after),
+            Some(after) => refusal.with_retry_after(after),
             None => refusal,
         }
     }
--- a/crates/gateway/src/request/choose.rs
+++ b/crates/gateway/src/request/choose.rs
@@ -6,11 +6,11 @@
 use std::rc::Rc;
 
 use hollowsail_fleet::rendezvous;
-use hollowsail_platform::heads::{Generation, PromptPart};
+use hollowsail_platform::headers::{Generation, PromptPart};
 use hollowsail_platform::targets::Incarnation;
 use hollowsail_routing::{
-    choose, choose_engine, engine_goes_first, Candidate, Demand, EngineCandidate, Millis, Reason,
-    Versions,
+    choose, choose_engine, prefix_outweighs_results, Candidate, Demand, EngineCandidate, Millis,
+    Reason, Versions,
 };
 use hollowsail_targets::Target;
 use rand::Rng;
@@ -29,7 +29,7 @@
         .map(|(index, target)| Candidate {
             target: index,
             load: target.load(),
-            reported: 0.0,
+            reported_load: 0.0,
             slowness: target.health.borrow().slowness(),
             ejected: target.health.borrow().is_ejected(now),
             affinity: None,
@@ -52,7 +52,7 @@
     let generation = admitted.caller.generation.as_ref();
     let part = match generation {
         Some(generation) => &shared_part(generation)?.id,
-        None if cx.is_rationed(service) => &admitted.caller.request_id,
+        None if cx.is_rate_limited(service) => &admitted.caller.request_id,
         None => return None,
     };
     Some(Demand {
@@ -90,11 +90,11 @@
         })
         .collect();
     let choice = choose_engine(&candidates, affinity_tokens(cx, generation))?;
-    let reason = match choice.is_home {
+    let reason = match choice.expects_prefix {
         true => Reason::Affinity,
         false => Reason::LessLoaded,
     };
-    Some((choice.at, reason))
+    Some((choice.index, reason))
 }
 
 fn candidate(
@@ -106,12 +106,12 @@
     let health = target.health.borrow();
     EngineCandidate {
         affinity: rendezvous::score(&part.id, &target.incarnation().id),
-        keeps_part: false,
+        has_cached_prefix: false,
         load: target.load(),
-        unread_tokens: target.unread_tokens.get(),
+        pending_prefill_tokens: target.pending_prefill_tokens.get(),
         slowness: health.slowness(),
         ejected: health.is_ejected(cx.clock.now()),
-        outside_bytes: remote_bytes,
+        remote_bytes,
     }
 }
 
@@ -119,12 +119,14 @@
 /// moving `result_bytes` of results.
 pub fn home_hall(cx: &Rc<Traffic>, admitted: &Admitted, result_bytes: u64) -> Option<String> {
     let generation = admitted.caller.generation.as_ref()?;
-    if !engine_goes_first(shared_tokens(generation), result_bytes) {
+    if !prefix_outweighs_results(shared_tokens(generation), result_bytes) {
         return None;
     }
     let (service, _) = admitted.route().services.first()?;
     let name = &admitted.deployment.service(*service).name;
-    let mut targets = cx.rollouts.in_use(cx, name, &cx.targets_named(name));
+    let mut targets = cx
+        .rollouts
+        .eligible_targets(cx, name, &cx.targets_named(name));
     targets.retain(|target| admitted.is_allowed_in(&target.record.hall));
     let (index, _) = engine(cx, generation, &Prepared::default(), &targets)?;
     Some(targets[index].record.hall.clone())
--- a/crates/gateway/src/request/dispatch.rs
+++ b/crates/gateway/src/request/dispatch.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hollowsail_clock::Moment;
+use hollowsail_clock::BootInstant;
 use hollowsail_platform::deployment::Repeat;
 use hollowsail_routing::Progress;
 
@@ -70,12 +70,12 @@
             });
         }
         attempts.last_target.clone_from(&target.incarnation().id);
-        attempts.last_sent = Moment::now();
+        attempts.last_sent = BootInstant::now();
         match attempt::run(cx, admitted, &target, &options).await {
             Ok(mut answer) => {
                 metrics::count_attempt(&target.record.service, "answered");
                 if let Some(placed) = &placed {
-                    placed.answered(cx, &target);
+                    placed.repeat_limit_report(cx, &target);
                 }
                 answer.placed = placed;
                 return Ok(answer);
@@ -85,7 +85,7 @@
                     .into_iter()
                     .for_each(|mut placed| match failure.progress {
                         // A refusal is no fault of the engine.
-                        Progress::FinalRefusal => placed.whole(),
+                        Progress::FinalRefusal => placed.completed(),
                         _ => placed.failed(),
                     });
                 retry::handle_failure(cx, admitted, attempts, &target, failure).await?;
@@ -96,24 +96,24 @@
 
 /// Time at which an attempt without an answer fails: well before the deadline if another target
 /// may be tried. A connection that died without a reset can't be detected in another way.
-fn timeout_at(cx: &Traffic, admitted: &Admitted, attempts: &Attempts) -> Moment {
+fn timeout_at(cx: &Traffic, admitted: &Admitted, attempts: &Attempts) -> BootInstant {
     let route = admitted.route();
     let may_retry = attempts.reached + 1 < route.max_attempts;
     if route.repeat != Repeat::Safe || !may_retry {
         return admitted.deadline;
     }
-    let slowest_ms = cx.slowest_ms(&admitted.deployment, attempts.service);
-    let Some(slowest_ms) = slowest_ms else {
+    let p99_ms = cx.p99_ms(&admitted.deployment, attempts.service);
+    let Some(p99_ms) = p99_ms else {
         return admitted.deadline;
     };
-    let timeout = Duration::from_millis(slowest_ms * TIMEOUT_FACTOR).max(MIN_TIMEOUT);
-    Moment::now() + timeout.min(admitted.remaining() / 2)
+    let timeout = Duration::from_millis(p99_ms * TIMEOUT_FACTOR).max(MIN_TIMEOUT);
+    BootInstant::now() + timeout.min(admitted.remaining() / 2)
 }
 
 fn attempt_options<'a>(
     admitted: &Admitted,
     prepared: &'a Prepared,
-    timeout_at: Moment,
+    timeout_at: BootInstant,
     resume_after: Option<&'a str>,
 ) -> AttemptOptions<'a> {
     let generation = admitted.caller.generation.as_ref();
--- a/crates/gateway/src/request/forecast.rs
+++ b/crates/gateway/src/request/forecast.rs
@@ -7,9 +7,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hollowsail_clock::Moment;
+use hollowsail_clock::BootInstant;
 use hollowsail_observe::ErrorKind;
-use hollowsail_routing::{admit, longest_way, ServiceLoad, StageDemand, StageExpectation, Verdict};
+use hollowsail_routing::{
+    admit, critical_path, ServiceLoad, StageDemand, StageExpectation, Verdict,
+};
 use rand::Rng;
 
 use super::admit::Admitted;
@@ -41,13 +43,13 @@
         .iter()
         .enumerate()
         .map(|(index, stage)| (stage.after.as_slice(), stage_demand(cx, admitted, index)));
-    let mut demands = longest_way(demands);
+    let mut demands = critical_path(demands);
     let has_backlog = |demand: &StageDemand| demand.load.wait_ms(demand.expected.typical_ms) > 0.0;
     if !demands.iter().any(has_backlog) {
         return Ok(());
     }
     demands.push(engine_demand());
-    let time_left = admitted.due().saturating_since(Moment::now());
+    let time_left = admitted.due().saturating_since(BootInstant::now());
     let time_left = time_left.saturating_sub(LATENCY_MARGIN);
     match admit(time_left.as_millis() as u64, &demands, 0.0) {
         Verdict::Admit => Ok(()),
@@ -55,7 +57,7 @@
             let overdue = Duration::from_millis(needed_ms).saturating_sub(time_left);
             let detail = format!("it would need about {needed_ms} ms");
             let refusal = Refusal::new(ErrorKind::CannotFinish, detail);
-            Err(refusal.come_back_after(retry_after(admitted, overdue)))
+            Err(refusal.with_retry_after(retry_after(admitted, overdue)))
         }
     }
 }
@@ -92,7 +94,7 @@
     let service = admitted.deployment.service(stage.service);
     let pool = service.stage_pool.as_ref()?;
     let pieces_per_call = (pieces as usize).min(pool.batch) as u32;
-    let own_ms = (pool.call + pool.piece * pieces_per_call).as_millis() as u64;
+    let own_ms = (pool.call_time + pool.piece_time * pieces_per_call).as_millis() as u64;
     let load = cx
         .pools
         .load(cx, &service.name, &admitted.caller.request_id)
--- a/crates/gateway/src/request/mod.rs
+++ b/crates/gateway/src/request/mod.rs
@@ -21,7 +21,7 @@
 
 use std::rc::Rc;
 
-use hollowsail_clock::Moment;
+use hollowsail_clock::BootInstant;
 use hollowsail_observe::{events as catalogue, ErrorKind};
 use hyper::body::Incoming;
 
@@ -45,7 +45,7 @@
 
 /// Serves one request. A request that fails is answered with its refusal.
 pub async fn serve(cx: Rc<Traffic>, req: http::Request<Incoming>) -> http::Response<AnswerStream> {
-    let arrived = Moment::now();
+    let arrived = BootInstant::now();
     let (head, body) = req.into_parts();
     let mut stats = RequestStats::default();
     let admitted = match admit::admit(&cx, head, body, arrived).await {
@@ -156,7 +156,7 @@
     cx: &Traffic,
     labels: &LogLabels<'_>,
     stats: &RequestStats,
-    arrived: Moment,
+    arrived: BootInstant,
     result: Result<http::StatusCode, &Refusal>,
 ) {
     let (status, kind, detail) = match result {
--- a/crates/gateway/src/request/prepare/mod.rs
+++ b/crates/gateway/src/request/prepare/mod.rs
@@ -9,10 +9,10 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use hollowsail_clock::Moment;
+use hollowsail_clock::BootInstant;
 use hollowsail_observe::ErrorKind;
 use hollowsail_platform::deployment::Stage;
-use hollowsail_stages::{StageGraph, StageSize};
+use hollowsail_stages::{StageGraph, StageSpec};
 
 use self::stage_run::StageRun;
 use super::admit::Admitted;
@@ -33,7 +33,7 @@
 pub async fn run(
     cx: &Rc<Traffic>,
     admitted: &Rc<Admitted>,
-    deadline: Moment,
+    deadline: BootInstant,
 ) -> Result<Prepared, Refusal> {
     let stages = &admitted.route().stages;
     if stages.is_empty() {
@@ -51,7 +51,7 @@
         home_hall,
         failed_pieces: 0,
     };
-    let timeout = tokio::time::sleep_until(deadline.timer().into());
+    let timeout = tokio::time::sleep_until(deadline.to_instant().into());
     tokio::select! {
         result = run.run() => result,
         () = timeout => Err(Refusal::new(
@@ -65,11 +65,11 @@
     }
 }
 
-fn graph(cx: &Traffic, sizes: Vec<StageSize>) -> StageGraph {
+fn graph(cx: &Traffic, sizes: Vec<StageSpec>) -> StageGraph {
     let graph = StageGraph::new(sizes);
     match cx.has(Mechanism::JointFinals) {
         true => graph,
-        false => graph.with_separate_finals(),
+        false => graph.with_independent_final_stages(),
     }
 }
 
@@ -84,11 +84,11 @@
 }
 
 /// Number of pieces of each stage; 0 where the request gives none.
-fn sizes(stages: &[Stage], pieces: &[u32]) -> Vec<StageSize> {
+fn sizes(stages: &[Stage], pieces: &[u32]) -> Vec<StageSpec> {
     stages
         .iter()
         .enumerate()
-        .map(|(index, stage)| StageSize {
+        .map(|(index, stage)| StageSpec {
             pieces: pieces.get(index).copied().unwrap_or(0) as usize,
             after: stage.after.clone(),
         })
--- a/crates/gateway/src/request/prepare/prepared.rs
+++ b/crates/gateway/src/request/prepare/prepared.rs
@@ -4,13 +4,13 @@
 
 use std::collections::HashMap;
 
-use crate::pools::HeldResult;
+use crate::pools::RetainedResult;
 
 /// Inputs of a request: the handles, and the results that are retained for them.
 #[derive(Default)]
 pub struct Prepared {
     pub inputs: Vec<String>,
-    pub(super) results: Vec<HeldResult>,
+    pub(super) results: Vec<RetainedResult>,
 }
 
 impl Prepared {
--- a/crates/gateway/src/request/prepare/stage_run.rs
+++ b/crates/gateway/src/request/prepare/stage_run.rs
@@ -7,16 +7,16 @@
 use std::rc::Rc;
 
 use futures_util::stream::{FuturesUnordered, StreamExt};
-use hollowsail_clock::Moment;
+use hollowsail_clock::BootInstant;
 use hollowsail_observe::{events, ErrorKind};
 use hollowsail_platform::deployment::Stage;
 use hollowsail_platform::pieces::{Piece, PieceFailure};
-use hollowsail_stages::{PieceAt, StageGraph};
+use hollowsail_stages::{PieceIndex, StageGraph};
 
 use super::{Prepared, FIRST_EVENT_MS, LARGE_RESULT_BYTES};
 use crate::answer::Refusal;
 use crate::mechanisms::Mechanism;
-use crate::pools::{HeldResult, PieceEnd, Wanted};
+use crate::pools::{PieceOutcome, PieceRequest, RetainedResult};
 use crate::request::admit::Admitted;
 use crate::request::unservable;
 use crate::traffic::Traffic;
@@ -33,10 +33,10 @@
     pub cx: &'a Rc<Traffic>,
     pub admitted: &'a Rc<Admitted>,
     /// Time at which the stages are cancelled.
-    pub deadline: Moment,
+    pub deadline: BootInstant,
     pub stages: &'a [Stage],
     pub graph: StageGraph,
-    pub retained: HashMap<PieceAt, HeldResult>,
+    pub retained: HashMap<PieceIndex, RetainedResult>,
     /// Hall of the engine, if it is chosen before the stages run.
     pub home_hall: Option<String>,
     /// Number of failed pieces so far.
@@ -72,20 +72,21 @@
     }
 
     /// The request to the pools for a piece.
-    fn piece_request(&self, index: PieceAt) -> Wanted {
+    fn piece_request(&self, index: PieceIndex) -> PieceRequest {
         let clock = &self.cx.clock;
         let reserve = self.prefill_ms()
             + self
                 .graph
-                .ms_after(index.stage, &|later| self.stage_ms(later));
-        Wanted {
+                .critical_path_ms_after(index.stage, &|later| self.stage_ms(later));
+        PieceRequest {
             piece: self.piece(index),
             request: self.admitted.digest(),
             priority: self.admitted.urgency,
             due: clock.millis_at(self.admitted.due()).saturating_sub(reserve),
-            expires: clock
-                .millis_at(self.deadline)
-                .saturating_sub(self.graph.ms_after(index.stage, &|_| MIN_STAGE_MS)),
+            expires: clock.millis_at(self.deadline).saturating_sub(
+                self.graph
+                    .critical_path_ms_after(index.stage, &|_| MIN_STAGE_MS),
+            ),
             result_bytes: self.stages[index.stage].result_bytes,
             holds_inputs: self.input_bytes(index) >= LARGE_RESULT_BYTES,
             hall: self.preferred_hall(index),
@@ -101,13 +102,13 @@
         let Some((service, _)) = admitted.route().services.first() else {
             return 0;
         };
-        if !self.cx.has(Mechanism::ReadingTimes) {
+        if !self.cx.has(Mechanism::PrefillTimes) {
             return FIRST_EVENT_MS;
         }
         let unshared_tokens = admitted.unshared_tokens();
         let expected = self
             .cx
-            .reading_time(&admitted.deployment, *service, unshared_tokens);
+            .prefill_time(&admitted.deployment, *service, unshared_tokens);
         expected.min(max_time).as_millis() as u64
     }
 
@@ -115,16 +116,16 @@
     fn stage_ms(&self, stage: usize) -> u64 {
         let service = self.admitted.deployment.service(self.stages[stage].service);
         service.stage_pool.as_ref().map_or(0, |pool| {
-            let whole_call = pool.call + pool.piece * pool.batch as u32;
+            let whole_call = pool.call_time + pool.piece_time * pool.batch as u32;
             whole_call.mul_f64(CALLS_PER_STAGE).as_millis() as u64
         })
     }
 
     /// The piece as it is sent to a worker; only a piece without inputs has a key.
-    fn piece(&self, index: PieceAt) -> Piece {
+    fn piece(&self, index: PieceIndex) -> Piece {
         let inputs = self.graph.inputs_of(index.stage);
         let piece_key = self.admitted.caller.piece_key.clone();
-        let remaining = self.deadline.saturating_since(Moment::now());
+        let remaining = self.deadline.saturating_since(BootInstant::now());
         Piece {
             request_id: self.admitted.caller.request_id.clone(),
             stage: index.stage as u16,
@@ -136,12 +137,12 @@
     }
 
     /// Total bytes of a piece's inputs.
-    fn input_bytes(&self, index: PieceAt) -> u64 {
+    fn input_bytes(&self, index: PieceIndex) -> u64 {
         self.inputs(index).map(|result| result.bytes).sum()
     }
 
     /// The retained results that are inputs of a piece.
-    fn inputs(&self, index: PieceAt) -> impl Iterator<Item = &HeldResult> {
+    fn inputs(&self, index: PieceIndex) -> impl Iterator<Item = &RetainedResult> {
         let needed = &self.stages[index.stage].after;
         let retained = self.retained.iter();
         retained
@@ -151,7 +152,7 @@
 
     /// Preferred hall of a piece: that of its inputs, or that of the engine; `None` when little
     /// data is moved.
-    fn preferred_hall(&self, index: PieceAt) -> Option<String> {
+    fn preferred_hall(&self, index: PieceIndex) -> Option<String> {
         if self.input_bytes(index) >= LARGE_RESULT_BYTES {
             let bytes_in = |hall: &str| -> u64 {
                 let in_hall = self.inputs(index).filter(|result| result.hall() == hall);
@@ -173,13 +174,14 @@
             Ok(result) => result,
             Err(failure) => return self.on_piece_failed(finished.index, &finished.inputs, failure),
         };
-        self.graph.made(finished.index, result.handle().to_string());
-        let worker = result.maker().to_string();
+        self.graph
+            .complete(finished.index, result.handle().to_string());
+        let worker = result.producer().to_string();
         self.retained.insert(finished.index, result);
-        if self.graph.is_made(finished.index.stage) {
+        if self.graph.is_complete(finished.index.stage) {
             self.log_stage_completed(finished.index.stage, &worker);
         }
-        for unneeded in self.graph.take_spent() {
+        for unneeded in self.graph.take_consumed() {
             self.retained
                 .retain(|_, result| result.handle() != unneeded);
         }
@@ -203,7 +205,7 @@
     /// Handles a failed piece: repeats it, or refuses the request.
     fn on_piece_failed(
         &mut self,
-        index: PieceAt,
+        index: PieceIndex,
         inputs: &[String],
         failure: PieceFailure,
     ) -> Result<(), Refusal> {
@@ -212,8 +214,8 @@
         match failure {
             PieceFailure::InputGone if self.failed_pieces <= MAX_FAILED_PIECES => {
                 // The failure doesn't say which input is gone, so all are reproduced.
-                self.graph.lose(index);
-                for input in self.graph.lose_inputs(index.stage, inputs) {
+                self.graph.reset(index);
+                for input in self.graph.reset_inputs(index.stage, inputs) {
                     self.retained.remove(&input);
                 }
                 Ok(())
@@ -231,7 +233,8 @@
 
     fn finish(self) -> Prepared {
         let inputs = self.graph.final_inputs();
-        let is_input = |result: &HeldResult| inputs.iter().any(|input| input == result.handle());
+        let is_input =
+            |result: &RetainedResult| inputs.iter().any(|input| input == result.handle());
         let results = self.retained.into_values().filter(is_input).collect();
         Prepared { inputs, results }
     }
@@ -239,22 +242,22 @@
 
 /// Outcome of one piece, with the handles of its inputs.
 struct FinishedPiece {
-    index: PieceAt,
+    index: PieceIndex,
     inputs: Vec<String>,
-    end: PieceEnd,
+    end: PieceOutcome,
 }
 
 async fn produce(
     cx: &Rc<Traffic>,
     admitted: &Admitted,
-    index: PieceAt,
-    piece_request: Wanted,
+    index: PieceIndex,
+    piece_request: PieceRequest,
 ) -> FinishedPiece {
     let inputs = piece_request.piece.inputs.clone();
     let service = admitted.route().stages[index.stage].service;
     let end = cx
         .pools
-        .make(cx, &admitted.deployment, service, piece_request)
+        .produce(cx, &admitted.deployment, service, piece_request)
         .await;
     FinishedPiece { index, inputs, end }
 }
--- a/crates/gateway/src/request/relay.rs
+++ b/crates/gateway/src/request/relay.rs
@@ -5,7 +5,7 @@
 
 use std::rc::Rc;
 
-use hollowsail_platform::heads::without_connection_headers;
+use hollowsail_platform::headers::without_connection_headers;
 use hollowsail_rollout::Outcome;
 use hollowsail_routing::{Observation, Progress};
 use hollowsail_targets::Target;
@@ -15,7 +15,7 @@
 use super::attempt::{Failure, TargetAnswer};
 use super::attempts::Attempts;
 use super::retry;
-use crate::answer::{whole as full_body, AnswerStream};
+use crate::answer::{full_body, AnswerStream};
 use crate::traffic::Traffic;
 
 /// Maximum size of a buffered answer, in bytes; a larger one fails.
@@ -44,7 +44,7 @@
         placed,
     } = answer;
     let read = tokio::time::timeout_at(
-        admitted.deadline.timer().into(),
+        admitted.deadline.to_instant().into(),
         body.collect(MAX_BUFFERED_BYTES),
     )
     .await;
@@ -52,8 +52,8 @@
     if let Some(mut placed) = placed {
         match &read {
             Ok(Ok(_)) if !parts.status.is_server_error() => {
-                placed.prompt_read();
-                placed.whole();
+                placed.prefill_done();
+                placed.completed();
             }
             _ => placed.failed(),
         }
@@ -91,7 +91,7 @@
 
 /// Clears the suspicion that the request crashes targets, after a complete answer.
 pub(super) fn clear_suspicion(cx: &Rc<Traffic>, admitted: &Admitted) {
-    cx.crashes.served(cx, || admitted.digest());
+    cx.crashes.record_served(cx, || admitted.digest());
 }
 
 /// Records the time of an answer in the target's health and the service's latency window.
--- a/crates/gateway/src/request/retry.rs
+++ b/crates/gateway/src/request/retry.rs
@@ -5,10 +5,10 @@
 
 use std::rc::Rc;
 
-use hollowsail_clock::Moment;
+use hollowsail_clock::BootInstant;
 use hollowsail_observe::{events, ErrorKind};
 use hollowsail_platform::deployment::ServiceKey;
-use hollowsail_routing::{may_try_again, stage_status, Observation, Progress, StageStatus};
+use hollowsail_routing::{may_retry, stage_status, Observation, Progress, StageStatus};
 use hollowsail_targets::Target;
 
 use super::admit::Admitted;
@@ -16,7 +16,7 @@
 use super::attempts::Attempts;
 use super::select;
 use crate::answer::Refusal;
-use crate::crashes::BrokenRun;
+use crate::crashes::InterruptedRun;
 use crate::metrics;
 use crate::traffic::Traffic;
 
@@ -55,7 +55,7 @@
     if admitted.remaining().is_zero() {
         return Err(attempts.deadline_refusal());
     }
-    if may_retry(cx, admitted, attempts, progress) && spend_budget(cx, admitted, attempts) {
+    if may_retry_request(cx, admitted, attempts, progress) && spend_budget(cx, admitted, attempts) {
         Ok(())
     } else {
         let refusal = attempts.refusal(ErrorKind::Overloaded);
@@ -88,20 +88,20 @@
     cx: &Rc<Traffic>,
     admitted: &Admitted,
     target: &Rc<Target>,
-    sent: Moment,
+    sent: BootInstant,
 ) -> bool {
-    let run = BrokenRun {
+    let run = InterruptedRun {
         sent,
-        ended: Moment::now(),
+        interrupted: BootInstant::now(),
     };
-    if !target.has_ended().await {
+    if !target.has_crashed().await {
         return false;
     }
     let (request_id, digest) = (&admitted.caller.request_id, admitted.digest());
     let target = &target.incarnation().id;
     let fields = format_args!("request={request_id} content={digest} target={target}");
     cx.log.line(events::TARGET_ENDED, fields);
-    cx.crashes.target_ended(cx, digest, run);
+    cx.crashes.target_crashed(cx, digest, run);
     true
 }
 
@@ -123,9 +123,14 @@
 }
 
 /// True when another attempt is safe and within the request's limits.
-fn may_retry(cx: &Traffic, admitted: &Admitted, attempts: &Attempts, progress: Progress) -> bool {
+fn may_retry_request(
+    cx: &Traffic,
+    admitted: &Admitted,
+    attempts: &Attempts,
+    progress: Progress,
+) -> bool {
     let route = admitted.route();
-    may_try_again(progress, route.repeat.is_repeatable())
+    may_retry(progress, route.repeat.is_repeatable())
         && attempts.reached < route.max_attempts
         && attempts.crashed < max_crashes(cx, admitted)
         && attempts.unreached < MAX_UNREACHED
@@ -150,7 +155,7 @@
 ) -> bool {
     let route = admitted.route();
     status.is_server_error()
-        && may_try_again(Progress::Broken, route.repeat.is_repeatable())
+        && may_retry(Progress::Broken, route.repeat.is_repeatable())
         && attempts.reached + 1 < route.max_attempts
         && !admitted.remaining().is_zero()
         && cx.with_budget(&admitted.deployment, attempts.service, |budget| {
--- a/crates/gateway/src/request/select.rs
+++ b/crates/gateway/src/request/select.rs
@@ -6,10 +6,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hollowsail_clock::Moment;
+use hollowsail_clock::BootInstant;
 use hollowsail_observe::{events, ErrorKind};
 use hollowsail_platform::targets::Incarnation;
-use hollowsail_routing::cold::{PAST_DESK_SHARE, WITHOUT_DESK_SHARE};
+use hollowsail_routing::warm_up::{BYPASS_SHARE, NO_SCHEDULER_SHARE};
 use hollowsail_routing::{Millis, Reason, Versions};
 use hollowsail_targets::Target;
 
@@ -19,8 +19,8 @@
 use super::prepare::Prepared;
 use crate::answer::Refusal;
 use crate::mechanisms::Mechanism;
-use crate::placement::{PlaceEnd, Placed};
-use crate::rollouts::Draw;
+use crate::placement::{Placement, PlacementOutcome};
+use crate::rollouts::VersionDraw;
 use crate::traffic::Traffic;
 
 /// Delay before a scheduler that did not reply is queried again.
@@ -35,7 +35,7 @@
     admitted: &Admitted,
     prepared: &Prepared,
     attempts: &Attempts,
-) -> Result<(Rc<Target>, Option<Placed>), Refusal> {
+) -> Result<(Rc<Target>, Option<Placement>), Refusal> {
     let service = &admitted.deployment.service(attempts.service).name;
     let mut draw = cx.rollouts.draw(cx, service, attempts.is_first());
     loop {
@@ -48,8 +48,8 @@
         if let Some(target) = chosen {
             return Ok((target, None));
         }
-        match draw.filter(|draw| draw.has_other) {
-            Some(drawn) => draw = Some(drawn.other()),
+        match draw.filter(|draw| draw.has_fallback) {
+            Some(drawn) => draw = Some(drawn.fallback()),
             None => break,
         }
     }
@@ -62,7 +62,7 @@
 
 /// Result of querying the scheduler of a service.
 enum SchedulerReply {
-    Named(Rc<Target>, Placed),
+    Named(Rc<Target>, Placement),
     /// This entry chooses the target.
     ChooseLocally(WarmUpSenders),
 }
@@ -74,17 +74,17 @@
     admitted: &Admitted,
     prepared: &Prepared,
     attempts: &Attempts,
-    draw: Option<&Draw>,
+    draw: Option<&VersionDraw>,
 ) -> Result<SchedulerReply, Refusal> {
-    let wait_ends = Moment::now() + admitted.max_wait();
+    let wait_ends = BootInstant::now() + admitted.max_wait();
     let service = &admitted.deployment.service(attempts.service).name;
-    while cx.has(Mechanism::Desk) {
+    while cx.has(Mechanism::Scheduler) {
         let avoid = excluded(cx, admitted, attempts);
-        let versions = draw.map_or(Versions::All, Draw::versions);
+        let versions = draw.map_or(Versions::All, VersionDraw::versions);
         let demand = choose::demand(cx, admitted, service, prepared, avoid, versions);
         let Some(demand) = demand else { break };
         match cx.placements.place(cx, service, demand).await {
-            PlaceEnd::There(id, placed) => {
+            PlacementOutcome::Placed(id, placed) => {
                 let Some(target) = usable(cx, admitted, &id, draw) else {
                     return Ok(SchedulerReply::ChooseLocally(
                         WarmUpSenders::SchedulerAndBypass,
@@ -93,15 +93,19 @@
                 log_choice(cx, admitted, &target, Reason::Placed, 0);
                 return Ok(SchedulerReply::Named(target, placed));
             }
-            PlaceEnd::Full { return_in } => return Err(limit_refusal(attempts, return_in)),
-            PlaceEnd::Nowhere => {
+            PlacementOutcome::AtLimit { retry_after } => {
+                return Err(limit_refusal(attempts, retry_after))
+            }
+            PlacementOutcome::NoCandidate => {
                 return Ok(SchedulerReply::ChooseLocally(WarmUpSenders::SchedulerOnly))
             }
             // Another entry takes over the scheduler soon.
-            PlaceEnd::Silent if all_limited(cx, service) && Moment::now() < wait_ends => {
+            PlacementOutcome::NoReply
+                if all_limited(cx, service) && BootInstant::now() < wait_ends =>
+            {
                 tokio::time::sleep(SCHEDULER_RETRY_INTERVAL).await;
             }
-            PlaceEnd::Silent => {
+            PlacementOutcome::NoReply => {
                 return Ok(SchedulerReply::ChooseLocally(
                     WarmUpSenders::SchedulerAndBypass,
                 ))
@@ -128,17 +132,17 @@
     cx: &Traffic,
     admitted: &Admitted,
     id: &Incarnation,
-    draw: Option<&Draw>,
+    draw: Option<&VersionDraw>,
 ) -> Option<Rc<Target>> {
     let target = cx.target(id)?;
     let may_run_there = matches_draw(&target, draw) && admitted.is_allowed_in(&target.record.hall);
-    let is_usable = cx.rests_until(&target).is_none() && may_run_there;
+    let is_usable = cx.backoff_until(&target).is_none() && may_run_there;
     is_usable.then_some(target)
 }
 
 /// True when a target runs the version drawn for the request, or none was drawn.
-fn matches_draw(target: &Target, draw: Option<&Draw>) -> bool {
-    draw.is_none_or(|draw| draw.fits(target))
+fn matches_draw(target: &Target, draw: Option<&VersionDraw>) -> bool {
+    draw.is_none_or(|draw| draw.matches(target))
 }
 
 /// True when every target of a service reports a limit; only the scheduler may then assign them.
@@ -154,7 +158,7 @@
     if attempts.is_first() {
         refusal.detail = "all targets of the service are at their limits".to_string();
     }
-    refusal.come_back_after(retry_after)
+    refusal.with_retry_after(retry_after)
 }
 
 /// Targets that the scheduler must not name: those that failed the request and those that are
@@ -171,13 +175,13 @@
     admitted: &Admitted,
     attempts: &Attempts,
 ) -> Vec<(Rc<Target>, Millis)> {
-    if !cx.targets().anyone_rests(cx.clock.now()) {
+    if !cx.targets().any_backing_off(cx.clock.now()) {
         return Vec::new();
     }
     let name = &admitted.deployment.service(attempts.service).name;
     let targets = cx.targets_named(name).into_iter();
     let backing_off = targets.filter_map(|target| {
-        let until = cx.rests_until(&target)?;
+        let until = cx.backoff_until(&target)?;
         Some((target, until))
     });
     backing_off.collect()
@@ -208,7 +212,7 @@
     match first.filter(|_| all_backing_off) {
         Some(until) => {
             let backoff_ms = until.saturating_sub(cx.clock.now());
-            refusal.come_back_after(Duration::from_millis(backoff_ms))
+            refusal.with_retry_after(Duration::from_millis(backoff_ms))
         }
         None => refusal,
     }
@@ -221,7 +225,7 @@
     prepared: &Prepared,
     attempts: &Attempts,
     senders: WarmUpSenders,
-    draw: Option<&Draw>,
+    draw: Option<&VersionDraw>,
 ) -> Option<Rc<Target>> {
     // Loads a newer view if there is one: it may have fewer targets.
     cx.deployment()?;
@@ -229,12 +233,12 @@
     let share = warm_up_share(cx, senders);
     let untried: Vec<Rc<Target>> = cx
         .rollouts
-        .in_use(cx, name, &cx.targets_named(name))
+        .eligible_targets(cx, name, &cx.targets_named(name))
         .into_iter()
         .filter(|target| matches_draw(target, draw))
         .filter(|target| admitted.is_allowed_in(&target.record.hall))
         .filter(|target| !attempts.tried.contains(target.incarnation()))
-        .filter(|target| cx.rests_until(target).is_none())
+        .filter(|target| cx.backoff_until(target).is_none())
         .filter(|target| is_within_warm_up_share(cx, target, share))
         // A limit covers all entries together, so only the scheduler can apply it.
         .filter(|target| target.limit.get().is_none())
@@ -244,7 +248,7 @@
         None => choose::plain(cx, &untried)?,
     };
     let target = untried[index].clone();
-    target.sent_while_cold(cx.clock.now(), share);
+    target.count_warm_up_send(cx.clock.now(), share);
     log_choice(cx, admitted, &target, reason, untried.len());
     Some(target)
 }
@@ -252,22 +256,22 @@
 /// False while a target is warming up and this entry's share of it is used up, or unknown
 /// because the list of entries has not been received.
 fn is_within_warm_up_share(cx: &Traffic, target: &Target, share: f64) -> bool {
-    if target.cold.get().is_none() {
+    if target.warm_up.get().is_none() {
         return true;
     }
     if share == 0.0 {
         return false;
     }
-    let position = cx.peers.place(cx);
-    position.is_some_and(|position| target.may_get_one(cx.clock.now(), share, position))
+    let position = cx.peers.position(cx);
+    position.is_some_and(|position| target.may_send(cx.clock.now(), share, position))
 }
 
 /// This entry's share of the requests that a target may get while it is warming up.
 fn warm_up_share(cx: &Traffic, senders: WarmUpSenders) -> f64 {
     let total_share = match senders {
-        WarmUpSenders::AllEntries => WITHOUT_DESK_SHARE,
+        WarmUpSenders::AllEntries => NO_SCHEDULER_SHARE,
         WarmUpSenders::SchedulerOnly => return 0.0,
-        WarmUpSenders::SchedulerAndBypass => PAST_DESK_SHARE,
+        WarmUpSenders::SchedulerAndBypass => BYPASS_SHARE,
     };
     total_share / cx.peers.count() as f64
 }
@@ -292,7 +296,7 @@
             target.in_flight.get(),
             admitted
                 .deadline
-                .saturating_since(Moment::now())
+                .saturating_since(BootInstant::now())
                 .as_millis(),
             cx.view_number(),
         ),
--- a/crates/gateway/src/request/stream.rs
+++ b/crates/gateway/src/request/stream.rs
@@ -84,7 +84,7 @@
         while !self.is_done {
             let latest = self.admitted.deadline + DEADLINE_GRACE;
             let chunk =
-                tokio::time::timeout_at(latest.timer().into(), self.answer.body.chunk()).await;
+                tokio::time::timeout_at(latest.to_instant().into(), self.answer.body.chunk()).await;
             match chunk {
                 Ok(Some(Ok(bytes))) => {
                     if let Some(events) = self.splitter.push(&bytes) {
@@ -99,7 +99,7 @@
                         return self.fail(BodyFault::Target { source });
                     }
                 }
-                Err(_) => return self.fail(BodyFault::TimeOver),
+                Err(_) => return self.fail(BodyFault::DeadlineExceeded),
             }
         }
         None
@@ -109,19 +109,19 @@
     /// streams would fill the workers' memory; a resumed stream runs its stages again.
     fn on_first_event(&mut self) {
         if !std::mem::replace(&mut self.has_started, true) {
-            self.answer.in_flight.prompt_read();
+            self.answer.in_flight.prefill_done();
             let service = self.attempts.service;
             let unshared_tokens = self.admitted.unshared_tokens();
             let took = self.answer.sent.elapsed();
             let deployment = &self.admitted.deployment;
             self.cx
-                .record_reading(deployment, service, unshared_tokens, took);
+                .record_prefill(deployment, service, unshared_tokens, took);
             let outcome = Outcome::Answered(took.as_secs_f64() * 1_000.0);
             let kind = &self.admitted.route().name;
             let rollouts = &self.cx.rollouts;
             rollouts.observe(kind, &self.answer.target, outcome);
             if let Some(placed) = &self.answer.placed {
-                placed.prompt_read();
+                placed.prefill_done();
             }
         }
         let may_be_resumed = self.admitted.route().repeat.is_repeatable();
@@ -134,7 +134,7 @@
         self.is_done = true;
         self.answer.target.observe(Observation::Answered(1), 1);
         if let Some(placed) = &mut self.answer.placed {
-            placed.whole();
+            placed.completed();
         }
         clear_suspicion(&self.cx, &self.admitted);
         let rest = self.splitter.take_partial();
@@ -172,7 +172,7 @@
         let after = self
             .splitter
             .last_id()
-            .or(self.admitted.caller.last_event.as_deref());
+            .or(self.admitted.caller.last_event_id.as_deref());
         let after = after.map(str::to_string);
         let prepared = match self.prepared.take() {
             Some(prepared) => prepared,
--- a/crates/gateway/src/request/unservable.rs
+++ b/crates/gateway/src/request/unservable.rs
@@ -16,7 +16,7 @@
 
 /// Refuses a request that is known to crash targets.
 pub fn check_crashes(cx: &Traffic, admitted: &Admitted) -> Result<(), Refusal> {
-    cx.crashes.judge(cx, || admitted.digest())
+    cx.crashes.check(cx, || admitted.digest())
 }
 
 /// The first missing service of the request's stages, or the route's first service if all of the
@@ -55,7 +55,7 @@
     check_crashes(cx, admitted)?;
     let view = cx.view();
     let name = |key: ServiceKey| &admitted.deployment.service(key).name;
-    let is_evacuated = |key: ServiceKey| view.targets.emptied_services.contains(name(key));
+    let is_evacuated = |key: ServiceKey| view.targets.evacuated_services.contains(name(key));
     let refuse = |detail: String| Err(Refusal::new(ErrorKind::NoTarget, detail));
     if let Some(service) = first_missing(admitted, is_evacuated) {
         return refuse(format!(
--- a/crates/gateway/src/rollouts/active.rs
+++ b/crates/gateway/src/rollouts/active.rs
@@ -7,7 +7,7 @@
 use hollowsail_rollout::{Arm, Evidence, Millis, Outcome, Phase, Rollout};
 use hollowsail_targets::Target;
 
-use super::messages::{RolloutReport, ToldPhase};
+use super::messages::{PhaseNotice, RolloutReport};
 use super::orders::PlacedOrder;
 use super::{ACTIVE_REPORT_MS, IDLE_REPORT_MS, LEADER_LOST_MS};
 use crate::peers::PeerId;
@@ -184,8 +184,8 @@
     }
 
     /// Builds the message that announces the phase in force.
-    pub fn phase_notice(&self, now: Millis) -> ToldPhase {
-        ToldPhase {
+    pub fn phase_notice(&self, now: Millis) -> PhaseNotice {
+        PhaseNotice {
             service: self.service().to_string(),
             order: self.placed.at,
             phase: self.phase(),
--- a/crates/gateway/src/rollouts/leader.rs
+++ b/crates/gateway/src/rollouts/leader.rs
@@ -49,7 +49,7 @@
                 self.enter(cx, active, next, "evidence");
                 self.broadcast_phase(cx, active);
             }
-            Step::TakeBack(fault) => {
+            Step::RollBack(fault) => {
                 let fields = format_args!(
                     "service={} version={} order={} {fault}",
                     active.service(),
@@ -101,7 +101,7 @@
 /// Adopts and broadcasts a verdict that is in the store.
 fn adopt_verdict(cx: &Rc<Traffic>, active: &Rc<ActiveRollout>, verdict: Phase) {
     if let Some(leadership) = active.leadership.borrow_mut().as_mut() {
-        leadership.rollout.settled(verdict, cx.clock.now());
+        leadership.rollout.set_verdict(verdict, cx.clock.now());
     }
     cx.rollouts.enter(cx, active, verdict, "store");
     cx.rollouts.broadcast_phase(cx, active);
--- a/crates/gateway/src/rollouts/messages.rs
+++ b/crates/gateway/src/rollouts/messages.rs
@@ -20,7 +20,7 @@
 
 /// The phase in force, sent by the leader of a roll-out.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldPhase {
+pub struct PhaseNotice {
     pub service: String,
     /// Position of the order in the store.
     pub order: Position,
--- a/crates/gateway/src/rollouts/mod.rs
+++ b/crates/gateway/src/rollouts/mod.rs
@@ -29,8 +29,8 @@
 use crate::traffic::Traffic;
 use crate::view::View;
 
-pub use self::messages::{RolloutReport, ToldPhase};
-pub use self::orders::{Orders, PlacedOrder, RecordedPhase, Records, PREFIX};
+pub use self::messages::{PhaseNotice, RolloutReport};
+pub use self::orders::{Orders, PhaseRecords, PlacedOrder, RecordedPhase, PREFIX};
 
 use self::active::ActiveRollout;
 
@@ -59,23 +59,23 @@
 }
 
 /// Receiving end of the channel, for the control thread.
-pub type ToRecord = mpsc::Receiver<RecordPhase>;
+pub type PhaseReceiver = mpsc::Receiver<RecordPhase>;
 
 /// Channel from leaders to the control thread, which writes their phases to the store.
-pub fn to_store() -> (mpsc::Sender<RecordPhase>, ToRecord) {
+pub fn phase_channel() -> (mpsc::Sender<RecordPhase>, PhaseReceiver) {
     mpsc::channel(MAX_QUEUED_PHASES)
 }
 
 /// Version drawn for a request whose service has a roll-out.
 #[derive(Debug, Clone)]
-pub struct Draw {
+pub struct VersionDraw {
     pub arm: Arm,
     /// The other version may serve the request if this one can't.
-    pub has_other: bool,
+    pub has_fallback: bool,
     version: String,
 }
 
-impl Draw {
+impl VersionDraw {
     /// Versions that a scheduler may choose a target of.
     pub fn versions(&self) -> Versions {
         match self.arm {
@@ -85,18 +85,18 @@
     }
 
     /// True if a target runs the version drawn.
-    pub fn fits(&self, target: &Target) -> bool {
+    pub fn matches(&self, target: &Target) -> bool {
         self.versions().allow(&target.record.version)
     }
 
     /// The draw of the other version.
-    pub fn other(&self) -> Self {
-        Draw {
+    pub fn fallback(&self) -> Self {
+        VersionDraw {
             arm: match self.arm {
                 Arm::Old => Arm::New,
                 Arm::New => Arm::Old,
             },
-            has_other: false,
+            has_fallback: false,
             version: self.version.clone(),
         }
     }
@@ -120,7 +120,7 @@
     }
 
     /// Applies the orders and recorded verdicts of a new view.
-    pub fn take(&self, cx: &Rc<Traffic>, view: &View) {
+    pub fn apply_view(&self, cx: &Rc<Traffic>, view: &View) {
         for placed in &view.orders {
             self.apply_order(cx, placed);
         }
@@ -197,25 +197,30 @@
                 active.elapsed_ms(cx.clock.now()),
             ),
         );
-        cx.pass_targets_on();
+        cx.propagate_targets();
     }
 
     /// Draws the version of a request; `None` if its service has no roll-out.
-    pub fn draw(&self, cx: &Traffic, service: &str, is_first_send: bool) -> Option<Draw> {
+    pub fn draw(&self, cx: &Traffic, service: &str, is_first_send: bool) -> Option<VersionDraw> {
         let active = self.of(service)?;
         let phase = phase_for(cx, &active, has_targets(cx, &active, Arm::Old));
         let share = canary_share(cx);
         let arm = Arm::draw(phase, share, is_first_send, rand::rng().random());
-        Some(Draw {
+        Some(VersionDraw {
             arm,
-            has_other: arm == Arm::New && phase != Phase::Completed,
+            has_fallback: arm == Arm::New && phase != Phase::Completed,
             version: active.placed.order.version.clone(),
         })
     }
 
     /// Targets of a service that may get requests; only some of those of a version on
     /// trial.
-    pub fn in_use(&self, cx: &Traffic, service: &str, targets: &[Rc<Target>]) -> Vec<Rc<Target>> {
+    pub fn eligible_targets(
+        &self,
+        cx: &Traffic,
+        service: &str,
+        targets: &[Rc<Target>],
+    ) -> Vec<Rc<Target>> {
         let Some(active) = self.of(service) else {
             return targets.to_vec();
         };
@@ -231,7 +236,7 @@
 
     /// The same for a pull queue, where any free target takes the next call and shares
     /// follow the number of targets.
-    pub fn in_use_by_count(
+    pub fn eligible_targets_by_count(
         &self,
         cx: &Traffic,
         service: &str,
@@ -302,13 +307,13 @@
     /// schedulers follow the phase in use.
     fn refresh_phase_in_use(&self, cx: &Rc<Traffic>, active: &ActiveRollout) {
         if active.update_phase_in_use(cx) {
-            cx.pass_targets_on();
+            cx.propagate_targets();
         }
     }
 
     /// Handles a phase sent by a leader. A larger share is accepted only from the entry
     /// that leads according to this entry's view.
-    pub fn told(&self, cx: &Rc<Traffic>, from: PeerId, notice: &ToldPhase) {
+    pub fn on_phase_notice(&self, cx: &Rc<Traffic>, from: PeerId, notice: &PhaseNotice) {
         let active = self.of(&notice.service);
         let Some(active) = active.filter(|known| known.placed.at == notice.order) else {
             // The order arrives with a view.
@@ -329,7 +334,7 @@
     }
 
     /// Handles a report of a peer and replies with the phase if this entry leads.
-    pub fn reported(&self, cx: &Rc<Traffic>, from: &PeerRecord, report: RolloutReport) {
+    pub fn on_report(&self, cx: &Rc<Traffic>, from: &PeerRecord, report: RolloutReport) {
         let active = self.of(&report.service);
         let Some(active) = active.filter(|known| known.placed.at == report.order) else {
             return;
--- a/crates/gateway/src/rollouts/orders.rs
+++ b/crates/gateway/src/rollouts/orders.rs
@@ -32,7 +32,7 @@
         let is_listed =
             |service: &String| listed.iter().any(|placed| placed.order.service == *service);
         self.by_service
-            .retain(|service, known| known.at.era < as_of.era || is_listed(service));
+            .retain(|service, known| known.at.epoch < as_of.epoch || is_listed(service));
         let withdrawn = before != self.by_service.len();
         let mut is_new = false;
         for placed in listed {
@@ -75,4 +75,4 @@
 }
 
 /// Recorded phases by service.
-pub type Records = BTreeMap<String, RecordedPhase>;
+pub type PhaseRecords = BTreeMap<String, RecordedPhase>;
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -48,7 +48,7 @@
     readiness: TcpListener,
     peers: TcpListener,
     /// Their addresses, with the actual ports where the settings say 0.
-    at: Listen,
+    addrs: Listen,
 }
 
 impl Listeners {
@@ -65,7 +65,7 @@
             callers,
             readiness,
             peers,
-            at: Listen {
+            addrs: Listen {
                 callers: callers_addr,
                 readiness: readiness_addr,
                 peers: peers_addr,
@@ -78,7 +78,7 @@
 /// A running gateway.
 pub struct Running {
     /// Addresses of its listeners.
-    pub at: Listen,
+    pub addrs: Listen,
     settings: Arc<ArcSwap<Settings>>,
     stop: oneshot::Sender<oneshot::Sender<()>>,
     control: Rc<Control>,
@@ -98,7 +98,7 @@
     /// Runs a planned stop; the process may exit when it returns.
     pub async fn stop(self) {
         let (done, ended) = oneshot::channel();
-        actix_rt::spawn(async move { self.control.leave().await });
+        actix_rt::spawn(async move { self.control.deregister().await });
         if self.stop.send(done).is_ok() && ended.await.is_err() {
             log::warn!("the traffic thread ended before the planned stop finished");
         }
@@ -110,14 +110,14 @@
 pub async fn start(settings: Settings, mechanisms: Mechanisms) -> Result<Running, StartError> {
     let clock = Clock::start();
     let listeners = Listeners::bind(&settings.listen)?;
-    let at = listeners.at.clone();
+    let addrs = listeners.addrs.clone();
     let host = settings.host.clone();
-    let me = own_record(&settings, at.peers);
+    let me = own_record(&settings, addrs.peers);
     let published = Arc::new(Published::default());
     let feeds = Arc::new(Feeds::default());
     let (stop, stopping) = oneshot::channel();
     let (crashes, refusals) = Crashes::new();
-    let (phases, phase_receiver) = rollouts::to_store();
+    let (phases, phase_receiver) = rollouts::phase_channel();
     let hall = settings.hall.clone();
     let control_settings = settings.clone();
     let settings = Arc::new(ArcSwap::from_pointee(settings));
@@ -134,22 +134,22 @@
         phases,
     );
     start_traffic(traffic, listeners, stopping).await?;
-    let at = Listen {
+    let addrs = Listen {
         metrics: metrics::serve(control_settings.metrics_addr()),
-        ..at
+        ..addrs
     };
     let log = Log::new(&host);
     log.line(
         events::STARTED,
         format_args!(
             "callers={} readiness={} peers={} metrics={:?} hall={} run={:016x}",
-            at.callers, at.readiness, at.peers, at.metrics, hall, me.id.0
+            addrs.callers, addrs.readiness, addrs.peers, addrs.metrics, hall, me.id.0
         ),
     );
     let control = Control::new(&control_settings, me, clock, published, feeds);
     control.spawn(refusals, phase_receiver);
     Ok(Running {
-        at,
+        addrs,
         settings,
         stop,
         control,
--- a/crates/gateway/src/target_calls.rs
+++ b/crates/gateway/src/target_calls.rs
@@ -1,30 +1,30 @@
 //! Requests to targets.
 //!
 //! All requests to targets pass through here, so that what a target reports of itself in an
-//! answer takes effect ([`crate::target_words`]) before the answer is used.
+//! answer takes effect ([`crate::target_reports`]) before the answer is used.
 
 use std::rc::Rc;
 
 use bytes::Bytes;
 use hollowsail_connect::{BodyError, Exchange, Reuse, SendError};
-use hollowsail_platform::heads::{self, TargetHead};
+use hollowsail_platform::headers::{self, TargetHeaders};
 use hollowsail_targets::Target;
 use http::{Request, StatusCode};
 use http_body_util::Full;
 
-use crate::target_words;
+use crate::target_reports;
 use crate::traffic::Traffic;
 
 /// The headers of a target's answer, and the exchange that carries its body.
 pub struct Answer {
-    pub head: TargetHead,
+    pub head: TargetHeaders,
     pub exchange: Exchange,
 }
 
 /// A complete answer of a target.
 pub struct WholeAnswer {
     pub status: StatusCode,
-    pub head: TargetHead,
+    pub head: TargetHeaders,
     /// `None` when it is longer than the caller accepts; an error when it was interrupted.
     pub body: Result<Option<Bytes>, BodyError>,
 }
@@ -37,15 +37,15 @@
     req: Request<Full<Bytes>>,
     reuse: Reuse,
 ) -> Result<Answer, SendError> {
-    let request_id = heads::request_id(req.headers()).map(str::to_string);
+    let request_id = headers::request_id(req.headers()).map(str::to_string);
     let sent_at = cx.clock.now();
     let exchange = target.pool.send(req, reuse).await?;
     let response = exchange.response();
-    let head = TargetHead::read(response.status(), response.headers());
+    let head = TargetHeaders::read(response.status(), response.headers());
     // An answer to an earlier request may arrive on the connection; its report is older.
     let is_ours = head.not_run || head.request_id == request_id;
     let sent_at = if is_ours { sent_at } else { 0 };
-    target_words::record_reports(cx, target, response.status(), &head, sent_at);
+    target_reports::record_reports(cx, target, response.status(), &head, sent_at);
     Ok(Answer { head, exchange })
 }
 
--- a/crates/gateway/src/target_group.rs
+++ b/crates/gateway/src/target_group.rs
@@ -22,7 +22,7 @@
     /// each group.
     pub fn for_key(targets: usize, size: usize, key: &str) -> Self {
         TargetGroup {
-            index: groups::place_of(key, groups::count(targets, size)),
+            index: groups::group_of(key, groups::count(targets, size)),
         }
     }
 
@@ -44,7 +44,7 @@
         let group_count = groups::count(all.len(), size);
         let members = all
             .iter()
-            .filter(|target| groups::place_of(&target.incarnation().id, group_count) == self.index);
+            .filter(|target| groups::group_of(&target.incarnation().id, group_count) == self.index);
         members.cloned().collect()
     }
 }
--- a/crates/gateway/src/target_words.rs
+++ b/crates/gateway/src/target_reports.rs
@@ -23,12 +23,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hollowsail_fleet::Tell;
+use hollowsail_fleet::SendTime;
 use hollowsail_observe::events;
-use hollowsail_platform::heads::{NamedLimit, TargetHead, UnreadableWord, OTHER_INCARNATION};
+use hollowsail_platform::headers::{
+    AdvertisedLimit, MalformedHeader, TargetHeaders, OTHER_INCARNATION,
+};
 use hollowsail_platform::targets::Incarnation;
 use hollowsail_routing::Millis;
-use hollowsail_targets::{LimitWord, Target};
+use hollowsail_targets::{LimitReport, Target};
 use http::StatusCode;
 
 use crate::metrics;
@@ -45,7 +47,7 @@
     cx: &Rc<Traffic>,
     target: &Target,
     status: StatusCode,
-    head: &TargetHead,
+    head: &TargetHeaders,
     sent_at: Millis,
 ) {
     let incarnation = target.incarnation();
@@ -56,20 +58,20 @@
         return;
     }
     log_unusable_headers(cx, incarnation, head);
-    if head.is_leaving {
+    if head.is_draining {
         take_out_of_use(cx, incarnation, "answer");
     }
     let per_s = match head.limit {
-        NamedLimit::Absent => Some(None),
-        NamedLimit::PerSecond(per_s) => Some(Some(per_s)),
-        NamedLimit::Unreadable => None,
+        AdvertisedLimit::Absent => Some(None),
+        AdvertisedLimit::PerSecond(per_s) => Some(Some(per_s)),
+        AdvertisedLimit::Malformed => None,
     };
     if let Some(per_s) = per_s {
         let received_at = cx.clock.now();
-        let report = LimitWord {
+        let report = LimitReport {
             per_s,
-            asked: sent_at,
-            heard: received_at,
+            sent_at,
+            received_at,
         };
         if record_limit(cx, incarnation, report, "answer") {
             request_limit_broadcast_throttled(cx, incarnation);
@@ -86,15 +88,15 @@
 
 /// Logs and counts malformed and unrecognised headers, which are otherwise ignored. Log lines
 /// are throttled for each target and header.
-fn log_unusable_headers(cx: &Traffic, incarnation: &Incarnation, head: &TargetHead) {
-    for UnreadableWord { word: header, text } in &head.unreadable {
+fn log_unusable_headers(cx: &Traffic, incarnation: &Incarnation, head: &TargetHeaders) {
+    for MalformedHeader { header, text } in &head.malformed {
         metrics::count_unusable_header(header);
         if cx.is_header_log_due(incarnation, header) {
             let fields = format_args!("target={} word={header} text=\"{text}\"", incarnation.id);
             cx.log.line(events::TARGET_WORD_UNREADABLE, fields);
         }
     }
-    for header in &head.unknown {
+    for header in &head.unrecognised {
         metrics::count_unusable_header(header);
         if cx.is_header_log_due(incarnation, header) {
             let fields = format_args!("target={} word={header}", incarnation.id);
@@ -112,7 +114,12 @@
 }
 
 /// Records a reported limit, from an answer or a peer. True when the limit changed.
-fn record_limit(cx: &Rc<Traffic>, incarnation: &Incarnation, report: LimitWord, by: &str) -> bool {
+fn record_limit(
+    cx: &Rc<Traffic>,
+    incarnation: &Incarnation,
+    report: LimitReport,
+    by: &str,
+) -> bool {
     let has_changed = cx.record_target_limit(incarnation, report);
     if has_changed {
         log_limit(cx, incarnation, report, by);
@@ -123,21 +130,21 @@
 /// Requests a broadcast of the reported limit, throttled for each incarnation.
 fn request_limit_broadcast_throttled(cx: &Rc<Traffic>, incarnation: &Incarnation) {
     match cx.limit_broadcasts.changed(cx.clock.now(), incarnation) {
-        Tell::Now => request_limit_broadcast(cx, incarnation),
-        Tell::At(at) => {
+        SendTime::Now => request_limit_broadcast(cx, incarnation),
+        SendTime::At(at) => {
             let (cx, incarnation) = (cx.clone(), incarnation.clone());
             actix_rt::spawn(async move {
                 tokio::time::sleep_until(cx.clock.timer(at).into()).await;
-                cx.limit_broadcasts.told(cx.clock.now(), &incarnation);
+                cx.limit_broadcasts.sent(cx.clock.now(), &incarnation);
                 request_limit_broadcast(&cx, &incarnation);
             });
         }
-        Tell::IsDue => {}
+        SendTime::Scheduled => {}
     }
 }
 
 fn request_limit_broadcast(cx: &Rc<Traffic>, incarnation: &Incarnation) {
-    let Some(report) = cx.targets().limit_word(incarnation) else {
+    let Some(report) = cx.targets().limit_report(incarnation) else {
         return;
     };
     match coordinator_of(cx, incarnation) {
@@ -148,7 +155,7 @@
 
 /// Sends the reported limit to every other entry.
 pub fn broadcast_limit(cx: &Rc<Traffic>, incarnation: &Incarnation) {
-    let Some(report) = cx.targets().limit_word(incarnation) else {
+    let Some(report) = cx.targets().limit_report(incarnation) else {
         return;
     };
     for link in cx.peers.links_to_all(cx) {
@@ -164,10 +171,10 @@
     tell_others: bool,
 ) {
     let now = cx.clock.now();
-    let report = LimitWord {
+    let report = LimitReport {
         per_s: notice.per_s,
-        asked: now.saturating_sub(notice.asked_ms),
-        heard: now.saturating_sub(notice.heard_ms),
+        sent_at: now.saturating_sub(notice.asked_ms),
+        received_at: now.saturating_sub(notice.heard_ms),
     };
     if record_limit(cx, incarnation, report, "peer") && tell_others {
         request_limit_broadcast_throttled(cx, incarnation);
@@ -176,7 +183,7 @@
 
 /// Sends the reported limit from time to time to an entry that sends to the target on behalf
 /// of this one.
-pub fn repeat_limit(cx: &Traffic, target: &Target, to: &Rc<Link>) {
+pub fn resend_limit(cx: &Traffic, target: &Target, to: &Rc<Link>) {
     let report = cx.targets().limit_to_repeat(cx.clock.now(), target);
     if let Some(report) = report {
         to.send(limit_message(cx, target.incarnation(), report, false));
@@ -204,7 +211,7 @@
 fn limit_message(
     cx: &Traffic,
     incarnation: &Incarnation,
-    report: LimitWord,
+    report: LimitReport,
     tell_others: bool,
 ) -> Message {
     let now = cx.clock.now();
@@ -212,8 +219,8 @@
         target: incarnation.clone(),
         limit: LimitNotice {
             per_s: report.per_s,
-            asked_ms: now.saturating_sub(report.asked),
-            heard_ms: now.saturating_sub(report.heard),
+            asked_ms: now.saturating_sub(report.sent_at),
+            heard_ms: now.saturating_sub(report.received_at),
         },
         tell_others,
     }
@@ -242,7 +249,7 @@
 /// Requests a broadcast that a target is draining, unless its record says so.
 async fn request_draining_broadcast(cx: Rc<Traffic>, incarnation: Incarnation) {
     tokio::time::sleep(RECORD_WITHIN).await;
-    if cx.view().targets.leaving.contains(&incarnation) {
+    if cx.view().targets.draining.contains(&incarnation) {
         return;
     }
     match coordinator_of(&cx, &incarnation) {
@@ -267,18 +274,18 @@
     }
 }
 
-fn log_limit(cx: &Traffic, incarnation: &Incarnation, report: LimitWord, by: &str) {
+fn log_limit(cx: &Traffic, incarnation: &Incarnation, report: LimitReport, by: &str) {
     let now = cx.clock.now();
     let per_s = report
         .per_s
         .map_or("none".to_string(), |per_s| per_s.to_string());
     let (sent_age, received_age) = (
-        now.saturating_sub(report.asked),
-        now.saturating_sub(report.heard),
+        now.saturating_sub(report.sent_at),
+        now.saturating_sub(report.received_at),
     );
     let fields = format_args!(
         "target={} born={} per_s={per_s} asked_ms={sent_age} heard_ms={received_age} by={by}",
-        incarnation.id, incarnation.born,
+        incarnation.id, incarnation.started,
     );
     cx.log.line(events::TARGET_LIMIT, fields);
 }
@@ -286,7 +293,7 @@
 fn log_draining(cx: &Traffic, incarnation: &Incarnation, by: &str) {
     let fields = format_args!(
         "target={} born={} by={by}",
-        incarnation.id, incarnation.born
+        incarnation.id, incarnation.started
     );
     cx.log.line(events::TARGET_LEAVES, fields);
 }
--- a/crates/gateway/src/traffic.rs
+++ b/crates/gateway/src/traffic.rs
@@ -12,8 +12,8 @@
 use hollowsail_platform::deployment::{Deployment, ServiceKey};
 use hollowsail_platform::settings::Settings;
 use hollowsail_platform::targets::Incarnation;
-use hollowsail_routing::{LatencyWindow, Millis, Pace, ReadingTimes, RetryBudget};
-use hollowsail_targets::{LimitWord, Target, TargetTable};
+use hollowsail_routing::{EventLoopLag, LatencyWindow, Millis, PrefillTimes, RetryBudget};
+use hollowsail_targets::{LimitReport, Target, TargetTable};
 use tokio::sync::{mpsc, Notify};
 
 use crate::clock::Clock;
@@ -98,14 +98,14 @@
     /// Recent latencies of requests, by service name.
     latencies: RefCell<HashMap<String, LatencyWindow>>,
     /// Recent times to the first event, by service name.
-    prefill_times: RefCell<HashMap<String, ReadingTimes>>,
+    prefill_times: RefCell<HashMap<String, PrefillTimes>>,
     /// Requests from their head to the end of their response.
     pub in_flight: Cell<usize>,
     /// Open connections of callers.
     pub connections: Cell<usize>,
     pub stopping: Cell<Stopping>,
     /// Event-loop lag of this thread.
-    pub pace: Cell<Pace>,
+    pub lag: Cell<EventLoopLag>,
     /// Notified shortly before the process exits: requests not sent to a target yet are
     /// refused.
     pub last_call: Notify,
@@ -150,7 +150,7 @@
                 in_flight: Cell::new(0),
                 connections: Cell::new(0),
                 stopping: Cell::new(Stopping::No),
-                pace: Cell::default(),
+                lag: Cell::default(),
                 last_call: Notify::new(),
                 close_idle: Notify::new(),
                 configured: Notify::new(),
@@ -189,19 +189,19 @@
         if let Some(deployment) = newest.deployment.as_ref().filter(|_| targets_changed) {
             let now = self.clock.now();
             let Targets {
-                usable, leaving, ..
+                usable, draining, ..
             } = &*newest.targets;
             let mut targets = self.targets.borrow_mut();
-            changed = targets.take(now, deployment, usable, leaving);
+            changed = targets.take(now, deployment, usable, draining);
         }
         let peers_changed = !Arc::ptr_eq(&before.peers, &newest.peers);
         if peers_changed {
             self.peers.update(self, &newest.peers);
         }
         *self.view.borrow_mut() = newest.clone();
-        self.rollouts.take(self, &newest);
+        self.rollouts.apply_view(self, &newest);
         if peers_changed || deployment_changed(&before, &newest) {
-            self.pass_targets_on();
+            self.propagate_targets();
         } else if !changed.is_empty() {
             self.propagate_targets_of(&changed);
         }
@@ -211,9 +211,9 @@
     }
 
     /// Updates queues and schedulers with the usable targets.
-    pub fn pass_targets_on(self: &Rc<Self>) {
-        self.pools.take_targets(self);
-        self.placements.take_targets(self);
+    pub fn propagate_targets(self: &Rc<Self>) {
+        self.pools.update_targets(self);
+        self.placements.update_targets(self);
         self.pools.hand_over(self);
     }
 
@@ -224,17 +224,17 @@
         };
         for key in services {
             let name = &deployment.service(*key).name;
-            self.pools.take_targets_of(self, name);
-            self.placements.take_targets_of(self, name);
+            self.pools.update_service_targets(self, name);
+            self.placements.update_service_targets(self, name);
         }
     }
 
     /// Takes a draining incarnation out of use. True when it was not draining before.
     pub fn mark_draining(self: &Rc<Self>, incarnation: &Incarnation) -> bool {
         let now = self.clock.now();
-        let has_changed = self.targets.borrow_mut().says_leaving(now, incarnation);
+        let has_changed = self.targets.borrow_mut().record_draining(now, incarnation);
         if has_changed {
-            self.pass_targets_on();
+            self.propagate_targets();
         }
         has_changed
     }
@@ -243,15 +243,15 @@
     pub fn record_target_limit(
         self: &Rc<Self>,
         incarnation: &Incarnation,
-        report: LimitWord,
+        report: LimitReport,
     ) -> bool {
         let now = self.clock.now();
         let has_changed = self
             .targets
             .borrow_mut()
-            .names_limit(now, incarnation, report);
+            .record_limit(now, incarnation, report);
         if has_changed {
-            self.pass_targets_on();
+            self.propagate_targets();
         }
         has_changed
     }
@@ -265,9 +265,9 @@
 
     /// True while a target of the service is warming up or reports a limit: requests of all
     /// entries have to go through the scheduler.
-    pub fn is_rationed(&self, service: &str) -> bool {
+    pub fn is_rate_limited(&self, service: &str) -> bool {
         self.with_targets(service, |targets| {
-            targets.iter().any(|target| target.is_rationed())
+            targets.iter().any(|target| target.is_rate_limited())
         })
     }
 
@@ -277,18 +277,18 @@
         let now = self.clock.now();
         self.targets
             .borrow_mut()
-            .asks_rest(now, incarnation, backoff_ms)
+            .record_backoff(now, incarnation, backoff_ms)
     }
 
     /// End of a target's backoff, if it is backing off.
-    pub fn rests_until(&self, target: &Target) -> Option<Millis> {
+    pub fn backoff_until(&self, target: &Target) -> Option<Millis> {
         let targets = self.targets.borrow();
-        targets.rests_until(self.clock.now(), target.incarnation())
+        targets.backoff_until(self.clock.now(), target.incarnation())
     }
 
     /// True the first time that this entry broadcasts that a target is draining.
     pub fn mark_draining_broadcast(&self, incarnation: &Incarnation) -> bool {
-        self.targets.borrow_mut().pass_on(incarnation)
+        self.targets.borrow_mut().mark_broadcast(incarnation)
     }
 
     /// The current configuration, if one is known. Applies a newer view first.
@@ -298,7 +298,7 @@
     }
 
     /// The current configuration; waits until one is known.
-    pub async fn first_deployment(self: &Rc<Self>) -> Arc<Deployment> {
+    pub async fn wait_for_deployment(self: &Rc<Self>) -> Arc<Deployment> {
         loop {
             let configured = self.configured.notified();
             if let Some(deployment) = self.deployment() {
@@ -386,7 +386,7 @@
     }
 
     /// 99th percentile of the latency of a service in milliseconds; `None` before it is known.
-    pub fn slowest_ms(&self, deployment: &Deployment, service: ServiceKey) -> Option<Millis> {
+    pub fn p99_ms(&self, deployment: &Deployment, service: ServiceKey) -> Option<Millis> {
         let name = &deployment.service(service).name;
         self.latencies.borrow().get(name)?.quantile(0.99)
     }
@@ -400,7 +400,7 @@
     }
 
     /// Records the time from the send of a generation to its first event.
-    pub fn record_reading(
+    pub fn record_prefill(
         &self,
         deployment: &Deployment,
         service: ServiceKey,
@@ -414,7 +414,7 @@
     }
 
     /// Expected time from the send of a generation to its first event.
-    pub fn reading_time(
+    pub fn prefill_time(
         &self,
         deployment: &Deployment,
         service: ServiceKey,
@@ -422,7 +422,7 @@
     ) -> Duration {
         let name = &deployment.service(service).name;
         let prefill_times = self.prefill_times.borrow();
-        let unknown = ReadingTimes::default();
+        let unknown = PrefillTimes::default();
         let times = prefill_times.get(name).unwrap_or(&unknown);
         Duration::from_millis(times.expected_ms(own_tokens))
     }
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -4,15 +4,15 @@
 use std::sync::Arc;
 
 use arc_swap::ArcSwap;
-use hollowsail_fleet::{EmptiedHalls, Position};
+use hollowsail_fleet::{EvacuatedHalls, Position};
 use hollowsail_platform::deployment::Deployment;
 use hollowsail_platform::targets::{Incarnation, TargetRecord};
 use hollowsail_targets::UsableTarget;
 use tokio::sync::Notify;
 
-use crate::crashes::Refused;
+use crate::crashes::RefusedRequests;
 use crate::peers::PeerRecord;
-use crate::rollouts::{PlacedOrder, Records};
+use crate::rollouts::{PhaseRecords, PlacedOrder};
 
 /// The configuration, the targets that may get new work, and the peers.
 #[derive(Debug, Default)]
@@ -26,7 +26,7 @@
     /// Shared with the previous view unless the targets changed.
     pub targets: Arc<Targets>,
     /// Evacuated halls, whose targets get nothing new.
-    pub emptied: EmptiedHalls,
+    pub evacuated: EvacuatedHalls,
     /// All target records, for peers that cannot reach the store; absent while this entry
     /// cannot reach it either.
     pub records: Option<KnownRecords>,
@@ -34,11 +34,11 @@
     /// previous view unless they changed.
     pub peers: Arc<[PeerRecord]>,
     /// Refused requests that crash targets.
-    pub refused: Refused,
+    pub refused: RefusedRequests,
     /// Rollout orders of the operators.
     pub orders: Vec<PlacedOrder>,
     /// Rollout phases recorded in the store.
-    pub rollout_records: Records,
+    pub rollout_records: PhaseRecords,
 }
 
 /// The targets according to their records and the evacuated halls.
@@ -47,9 +47,9 @@
     /// Targets that may get new work.
     pub usable: Vec<UsableTarget>,
     /// Targets whose records say that they are draining.
-    pub leaving: Vec<Incarnation>,
+    pub draining: Vec<Incarnation>,
     /// Services whose usable targets are all in evacuated halls.
-    pub emptied_services: BTreeSet<String>,
+    pub evacuated_services: BTreeSet<String>,
 }
 
 /// All target records at a store position.
--- a/crates/gateway/tests/suite/backoff.rs
+++ b/crates/gateway/tests/suite/backoff.rs
@@ -14,7 +14,8 @@
 
 use crate::all_kinds::staged;
 use crate::fixture::{
-    eventually, gateway, generation, one_event, runs, until_entries, Call, Fixture,
+    eventually, gateway, generation, single_event_stream, stage_runs, wait_for_entries, Call,
+    Fixture,
 };
 
 /// Retry-After of the targets, in seconds.
@@ -90,7 +91,7 @@
     }
     let (refused, begun) = (refusing.target.received().len(), Instant::now());
     while begun.elapsed() < Duration::from_secs_f64(BACKOFF_S * 0.8) {
-        let got = plain().send(fixture.gateway.at.callers).await;
+        let got = plain().send(fixture.gateway.addrs.callers).await;
         assert_eq!(got.status, 200, "the other target serves");
     }
     assert_eq!(
@@ -101,7 +102,7 @@
     refusing.is_full.set(false);
     tokio::time::sleep(Duration::from_secs_f64(BACKOFF_S * 0.4)).await;
     for _ in 0..300 {
-        plain().send(fixture.gateway.at.callers).await;
+        plain().send(fixture.gateway.addrs.callers).await;
     }
     assert!(
         refusing.target.received().len() > refused + 50,
@@ -116,11 +117,11 @@
     fixture.add("i-1", "plain", &refusing.target);
     fixture.call(&plain()).await;
     refusing.is_full.set(true);
-    plain().send(fixture.gateway.at.callers).await;
+    plain().send(fixture.gateway.addrs.callers).await;
     let refused = refusing.target.received().len();
     for _ in 0..10 {
         let sent = Instant::now();
-        let got = plain().send(fixture.gateway.at.callers).await;
+        let got = plain().send(fixture.gateway.addrs.callers).await;
         assert!(sent.elapsed() < Duration::from_millis(150));
         assert_eq!(got.status, 503);
         let after: f64 = got
@@ -149,10 +150,10 @@
     store.put_target("i-1", "plain", refusing.addr, "hall-a", "ready");
     store.put_warming_up_target("i-2", "plain", warming_up.addr, Duration::from_secs(9));
     let gateway = gateway(&store, "host-1", "hall-a").await;
-    until_entries("the entry is recorded", &store, 1).await;
+    wait_for_entries("the entry is recorded", &store, 1).await;
     tokio::time::sleep(Duration::from_millis(400)).await;
     for _ in 0..40 {
-        let got = plain().send(gateway.at.callers).await;
+        let got = plain().send(gateway.addrs.callers).await;
         if got.status != 503 || refusing.received().is_empty() {
             continue;
         }
@@ -188,10 +189,10 @@
         gateway(&store, "host-1", "hall-a").await,
         gateway(&store, "host-2", "hall-a").await,
     ];
-    until_entries("all are recorded", &store, 3).await;
+    wait_for_entries("all are recorded", &store, 3).await;
     tokio::time::sleep(Duration::from_millis(400)).await;
     for (number, entry) in entries.iter().enumerate() {
-        generation(number).send(entry.at.callers).await;
+        generation(number).send(entry.addrs.callers).await;
     }
     let used = engines
         .iter()
@@ -199,11 +200,11 @@
     let used = used.expect("one engine has the cached prefix");
     used.is_full.set(true);
     for (number, entry) in entries.iter().enumerate() {
-        generation(10 + number).send(entry.at.callers).await;
+        generation(10 + number).send(entry.addrs.callers).await;
     }
     let refused = used.target.received().len();
     for number in 0..24 {
-        let addr = entries[number % 3].at.callers;
+        let addr = entries[number % 3].addrs.callers;
         let got = generation(100 + number).send(addr).await;
         assert!(
             got.status == 200 && got.is_whole,
@@ -219,7 +220,7 @@
 
 #[actix_rt::test]
 async fn stage_worker_gets_no_call_in_backoff() {
-    let (fixture, _engine) = Fixture::serving(&deployment(), "engines", one_event).await;
+    let (fixture, _engine) = Fixture::serving(&deployment(), "engines", single_event_stream).await;
     let worker = RefusingTarget::start(|request| {
         vec![Step::Write(hollowsail_platform_standins::target::results(
             request, "maker",
@@ -230,22 +231,22 @@
     let staged = |number| staged(number).with("X-Deadline-Ms", "4000");
     until_staged_served(&fixture, &staged(1)).await;
     worker.is_full.set(true);
-    let before = runs(&worker.target).len();
-    let addr = fixture.gateway.at.callers;
+    let before = stage_runs(&worker.target).len();
+    let addr = fixture.gateway.addrs.callers;
     let waiting = actix_rt::spawn(async move { staged(2).send(addr).await });
     eventually("the worker refused a call", || {
-        runs(&worker.target).len() > before
+        stage_runs(&worker.target).len() > before
     })
     .await;
     worker.is_full.set(false);
-    let (refused_at, runs_before) = (Instant::now(), runs(&worker.target).len());
+    let (refused_at, runs_before) = (Instant::now(), stage_runs(&worker.target).len());
     let got = waiting.await.expect("the request is answered");
     assert!(
         got.is_whole && got.status == 200,
         "served after the backoff: {got:?}"
     );
     assert!(refused_at.elapsed() >= Duration::from_secs_f64(BACKOFF_S * 0.9));
-    assert_eq!(runs(&worker.target).len(), runs_before + 1);
+    assert_eq!(stage_runs(&worker.target).len(), runs_before + 1);
 }
 
 async fn until_staged_served(fixture: &Fixture, call: &Call) {
--- a/crates/gateway/tests/suite/crashing.rs
+++ b/crates/gateway/tests/suite/crashing.rs
@@ -18,7 +18,7 @@
 use serde_json::json;
 use tokio::io::AsyncReadExt;
 
-use crate::fixture::{eventually, gateway, until_entries, Answer, Call};
+use crate::fixture::{eventually, gateway, wait_for_entries, Answer, Call};
 
 /// Engines that may crash under one request.
 const MAX_CRASHES: usize = 3;
@@ -139,7 +139,7 @@
     for number in 0..entries {
         gateways.push(gateway(&store, &format!("host-{number}"), "hall-a").await);
     }
-    until_entries("all entries are registered", &store, entries).await;
+    wait_for_entries("all entries are registered", &store, entries).await;
     tokio::time::sleep(Duration::from_millis(400)).await;
     (store, engines, gateways)
 }
@@ -148,7 +148,7 @@
 async fn send_fatal(engines: &Targets, gateways: &[Running]) -> Vec<Answer> {
     let mut answers = Vec::new();
     for number in 0..SENDS {
-        let addr = gateways[number % gateways.len()].at.callers;
+        let addr = gateways[number % gateways.len()].addrs.callers;
         answers.push(request(number, "fatal").send(addr).await);
         tokio::time::sleep(Duration::from_millis(150)).await;
         engines.replace_crashed().await;
@@ -173,7 +173,7 @@
             "the refusal says when to retry"
         );
     }
-    let good = request(100, "short").send(gateways[0].at.callers).await;
+    let good = request(100, "short").send(gateways[0].addrs.callers).await;
     assert!(good.is_whole, "other requests are served: {good:?}");
 }
 
@@ -181,7 +181,7 @@
 async fn bystanders_of_fatal_request_are_served() {
     let (_store, engines, gateways) = fleet(2, 1).await;
     let broken = |number: usize| {
-        let addr = gateways[number % 2].at.callers;
+        let addr = gateways[number % 2].addrs.callers;
         async move {
             let mut good = request(100 + number, "long").begin(addr).await;
             let mut buf = [0; 64];
@@ -196,13 +196,13 @@
         engines.replace_crashed().await;
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
-    let again = request(200, "long").send(gateways[0].at.callers).await;
+    let again = request(200, "long").send(gateways[0].addrs.callers).await;
     assert!(again.is_whole, "served between two crashes: {again:?}");
     broken(2).await;
     eventually("the third engine crashes", || engines.crashed() == 3).await;
     engines.replace_crashed().await;
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let again = request(201, "long").send(gateways[1].at.callers).await;
+    let again = request(201, "long").send(gateways[1].addrs.callers).await;
     assert!(again.is_whole, "it did not cause the crash: {again:?}");
 }
 
@@ -213,7 +213,7 @@
     let crashed = engines.crashed();
     let late = gateway(&store, "host-late", "hall-a").await;
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let got = request(300, "fatal").send(late.at.callers).await;
+    let got = request(300, "fatal").send(late.addrs.callers).await;
     assert_eq!((got.status, engines.crashed()), (503, crashed), "{got:?}");
 }
 
@@ -253,7 +253,7 @@
     tokio::time::sleep(Duration::from_millis(300)).await;
     let mut last = None;
     for send in 0..4 {
-        let addr = |number: usize| gateways[number % 2].at.callers;
+        let addr = |number: usize| gateways[number % 2].addrs.callers;
         let fatal = staged(&format!("{FATAL_ID}{send:011x}"), "fatal");
         let good = (0..6).map(|number| {
             let id = format!("{send:08x}{number:08x}");
@@ -301,7 +301,7 @@
         let call = Call::new("POST", "/safe/x")
             .with("X-Request-Id", &id)
             .body(body);
-        let addr = gateways[number % 2].at.callers;
+        let addr = gateways[number % 2].addrs.callers;
         async move { call.send(addr).await }
     };
     let first = send(0, "fatal").await;
--- a/crates/gateway/tests/suite/draining.rs
+++ b/crates/gateway/tests/suite/draining.rs
@@ -12,7 +12,7 @@
 use hollowsail_platform_standins::{Step, StoreMode, StoreStandin, TargetStandin};
 
 use crate::all_kinds::{deployment, staged, whole_answer};
-use crate::fixture::{gateway, generation, runs, until_entries, Call, Fixture};
+use crate::fixture::{gateway, generation, stage_runs, wait_for_entries, Call, Fixture};
 
 /// Configured time of a call for pieces, in milliseconds.
 const WORK_MS: f64 = 20.0;
@@ -76,7 +76,7 @@
         for number in 0..entries {
             running.push(gateway(&store, &format!("host-{number}"), "hall-a").await);
         }
-        until_entries("all entries are registered", &store, entries).await;
+        wait_for_entries("all entries are registered", &store, entries).await;
         tokio::time::sleep(Duration::from_millis(400)).await;
         Fleet {
             store,
@@ -97,7 +97,7 @@
         draining_target.is_draining.set(true);
         let before = draining_target.request_count();
         for number in 0..200 {
-            let at = self.entries[0].at.callers;
+            let at = self.entries[0].addrs.callers;
             request(1_000 + number).send(at).await;
             if draining_target.request_count() > before {
                 break;
@@ -115,7 +115,7 @@
     /// Sends requests to all entries, each of which has to be served.
     async fn assert_all_served(&self, request: impl Fn(usize) -> Call) {
         for number in 0..SENDS {
-            let at = self.entries[number % self.entries.len()].at.callers;
+            let at = self.entries[number % self.entries.len()].addrs.callers;
             let got = request(2_000 + number).send(at).await;
             assert!(
                 got.status == 200 && got.is_whole,
@@ -127,7 +127,7 @@
     /// Sends requests until a target has received one, and returns that target.
     async fn until_used(&self, request: impl Fn(usize) -> Call) -> &DrainingTarget {
         for number in 0..200 {
-            request(number).send(self.entries[0].at.callers).await;
+            request(number).send(self.entries[0].addrs.callers).await;
             if let Some(used) = self
                 .targets
                 .iter()
@@ -169,7 +169,7 @@
 #[actix_rt::test]
 async fn draining_stage_worker_gets_no_calls() {
     let fleet = Fleet::start("encoders", 2).await;
-    let engine = TargetStandin::start(crate::fixture::one_event).await;
+    let engine = TargetStandin::start(crate::fixture::single_event_stream).await;
     let put = |state| {
         fleet
             .store
@@ -187,7 +187,7 @@
         received,
         "a draining worker gets no call"
     );
-    assert!(!runs(&draining_target.target).is_empty());
+    assert!(!stage_runs(&draining_target.target).is_empty());
 }
 
 /// Guards against ignoring the report in an answer with an error status.
@@ -203,10 +203,10 @@
     .await;
     fixture.call(&plain()).await;
     fixture.store.set_mode(StoreMode::Silent);
-    plain().send(fixture.gateway.at.callers).await;
+    plain().send(fixture.gateway.addrs.callers).await;
     let received = target.received().len();
     for _ in 0..SENDS {
-        let got = plain().send(fixture.gateway.at.callers).await;
+        let got = plain().send(fixture.gateway.addrs.callers).await;
         assert_eq!(got.status, 503, "no target is left");
     }
     assert_eq!(target.received().len(), received);
@@ -219,7 +219,7 @@
     let fleet = Fleet::start("plain", 1).await;
     let [draining_target, _] = &fleet.targets;
     draining_target.is_draining.set(true);
-    let at = fleet.entries[0].at.callers;
+    let at = fleet.entries[0].addrs.callers;
     until_draining_reported(draining_target, at).await;
     let received = draining_target.request_count();
     let addr = draining_target.target.addr;
@@ -245,7 +245,7 @@
 async fn rewritten_record_keeps_recorded_draining() {
     let fleet = Fleet::start("plain", 1).await;
     let [draining_target, _] = &fleet.targets;
-    let at = fleet.entries[0].at.callers;
+    let at = fleet.entries[0].addrs.callers;
     let addr = draining_target.target.addr;
     let put = |state| {
         fleet
@@ -274,7 +274,7 @@
     fixture
         .store
         .put_incarnation("i-1", 1_000, "plain", first.target.addr);
-    let at = fixture.gateway.at.callers;
+    let at = fixture.gateway.addrs.callers;
     until_draining_reported(&first, at).await;
     let second = DrainingTarget::start().await;
     fixture
@@ -305,11 +305,11 @@
         gateway(&store, "host-1", "hall-a").await,
         gateway(&store, "host-2", "hall-a").await,
     ];
-    until_entries("all entries are registered", &store, 3).await;
+    wait_for_entries("all entries are registered", &store, 3).await;
     tokio::time::sleep(Duration::from_millis(400)).await;
     store.set_mode(StoreMode::Silent);
     for _ in 0..200 {
-        plain().send(entries[0].at.callers).await;
+        plain().send(entries[0].addrs.callers).await;
         if !replaced.received().is_empty() {
             break;
         }
@@ -318,7 +318,7 @@
     let received = replaced.received().len();
     assert!((1..=3).contains(&received), "{received}");
     for number in 0..SENDS {
-        let got = plain().send(entries[number % 3].at.callers).await;
+        let got = plain().send(entries[number % 3].addrs.callers).await;
         assert_eq!(got.status, 200);
     }
     assert_eq!(
@@ -340,7 +340,7 @@
     })
     .await;
     fixture.call(&plain()).await;
-    plain().send(fixture.gateway.at.callers).await;
+    plain().send(fixture.gateway.addrs.callers).await;
     fixture.add("i-2", "plain", &target);
     let got = fixture.call(&plain()).await;
     assert_eq!(got.status, 200, "{got:?}");
--- a/crates/gateway/tests/suite/evacuated_halls.rs
+++ b/crates/gateway/tests/suite/evacuated_halls.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 
 use crate::fixture::{
-    eventually, gateway, gateway_at, plain_deployment, settings, until_entries, Call,
+    eventually, gateway, gateway_at, plain_deployment, settings, wait_for_entries, Call,
 };
 
 /// Requests that must all avoid a hall.
@@ -46,7 +46,12 @@
 /// Sends requests until the named target serves one.
 async fn until_served_by(gateway: &Running, name: &str) {
     for _ in 0..400 {
-        if Call::new("GET", "/a/").send(gateway.at.callers).await.body == name {
+        if Call::new("GET", "/a/")
+            .send(gateway.addrs.callers)
+            .await
+            .body
+            == name
+        {
             return;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
@@ -57,7 +62,7 @@
 /// Expects the named target to serve all of [`TRIES`] requests.
 async fn expect_only(gateway: &Running, name: &str) {
     for _ in 0..TRIES {
-        let got = Call::new("GET", "/a/").send(gateway.at.callers).await;
+        let got = Call::new("GET", "/a/").send(gateway.addrs.callers).await;
         assert_eq!(got.body, name);
     }
 }
@@ -103,7 +108,7 @@
     let endpoint = halls.store.add_endpoint().await;
     let _other = gateway(&halls.store, "host-1", "hall-a").await;
     let cut_off = gateway_at(settings("host-2", "hall-a", endpoint.addr)).await;
-    until_entries("both entries", &halls.store, 2).await;
+    wait_for_entries("both entries", &halls.store, 2).await;
     until_served_by(&cut_off, "a").await;
     endpoint.set_mode(StoreMode::Refusing);
     halls.evacuate("hall-a");
@@ -140,7 +145,7 @@
     tokio::time::sleep(Duration::from_millis(500)).await;
     let before = (halls.a.received().len(), halls.b.received().len());
     let sent = Instant::now();
-    let got = Call::new("GET", "/a/").send(gateway.at.callers).await;
+    let got = Call::new("GET", "/a/").send(gateway.addrs.callers).await;
     assert!(sent.elapsed() < Duration::from_millis(100));
     assert_eq!(got.status, 503);
     assert!(got.body.starts_with("no_target"), "{}", got.body);
@@ -166,13 +171,13 @@
     let call = Call::new("GET", "/a/")
         .with("X-Pieces", "1")
         .with("X-Piece-Key", "k");
-    let _pending = call.begin(gateway.at.callers).await;
+    let _pending = call.begin(gateway.addrs.callers).await;
     eventually("a call for a piece", || !encoder.received().is_empty()).await;
     store.put("op/evacuate/hall-a", b"{}");
     tokio::time::sleep(Duration::from_millis(500)).await;
     let before = encoder.received().len();
     let sent = Instant::now();
-    let got = call.send(gateway.at.callers).await;
+    let got = call.send(gateway.addrs.callers).await;
     assert!(sent.elapsed() < Duration::from_millis(100));
     assert_eq!(got.status, 503);
     assert_eq!(encoder.received().len(), before);
--- a/crates/gateway/tests/suite/fixture.rs
+++ b/crates/gateway/tests/suite/fixture.rs
@@ -59,7 +59,7 @@
 }
 
 /// An engine's answer: a complete stream with one event.
-pub fn one_event(request: &ReceivedRequest) -> Vec<Step> {
+pub fn single_event_stream(request: &ReceivedRequest) -> Vec<Step> {
     vec![
         Step::Write(stream_head(request)),
         Step::Write(chunk(&event(1))),
@@ -68,7 +68,7 @@
 }
 
 /// Calls that run pieces, without those that release results.
-pub fn runs(target: &TargetStandin) -> Vec<ReceivedRequest> {
+pub fn stage_runs(target: &TargetStandin) -> Vec<ReceivedRequest> {
     let runs = |request: &ReceivedRequest| request.path == "/-/stage-run";
     target.received().into_iter().filter(runs).collect()
 }
@@ -86,7 +86,7 @@
 }
 
 /// Waits until the store has `entries` records of entries.
-pub async fn until_entries(what: &str, store: &StoreStandin, entries: usize) {
+pub async fn wait_for_entries(what: &str, store: &StoreStandin, entries: usize) {
     eventually(what, || store.keys("hollowsail/peers/").len() == entries).await;
 }
 
@@ -125,7 +125,7 @@
 
     /// Sends a request until a target receives it; records take a moment to arrive.
     pub async fn call(&self, req: &Call) -> Answer {
-        call_until_served(self.gateway.at.callers, req).await
+        call_until_served(self.gateway.addrs.callers, req).await
     }
 }
 
@@ -140,7 +140,7 @@
         .await
         .expect("the gateway starts");
     let until = Instant::now() + WAIT_TIMEOUT;
-    while ready_status(running.at.readiness).await != 200 {
+    while ready_status(running.addrs.readiness).await != 200 {
         assert!(Instant::now() < until, "the gateway did not become ready");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
--- a/crates/gateway/tests/suite/forwarding.rs
+++ b/crates/gateway/tests/suite/forwarding.rs
@@ -293,7 +293,7 @@
     fixture.call(&Call::new("GET", "/safe/deep/known")).await;
     let before = target.received().len();
     let caller = Call::new("POST", "/once/")
-        .begin(fixture.gateway.at.callers)
+        .begin(fixture.gateway.addrs.callers)
         .await;
     eventually("the request arrives", || target.received().len() > before).await;
     let disconnects = target.disconnects();
--- a/crates/gateway/tests/suite/limits.rs
+++ b/crates/gateway/tests/suite/limits.rs
@@ -33,7 +33,7 @@
                 Transfer-Encoding: chunked\r\nConnection: close\r\n\r\n";
     let chunk = format!("{:x}\r\n{body}\r\n0\r\n\r\n", body.len());
     let got = exchange(
-        fixture.gateway.at.callers,
+        fixture.gateway.addrs.callers,
         (head.to_string() + &chunk).as_bytes(),
     )
     .await;
@@ -47,7 +47,7 @@
     let (fixture, _target) = serving().await;
     let long = "x".repeat(40_000);
     let bytes = Call::new("GET", "/safe/").with("X-Long", &long).bytes();
-    let got = exchange(fixture.gateway.at.callers, &bytes).await;
+    let got = exchange(fixture.gateway.addrs.callers, &bytes).await;
     assert!(String::from_utf8_lossy(&got).starts_with("HTTP/1.1 431"));
     assert_still_serves(&fixture).await;
 }
@@ -55,7 +55,7 @@
 #[actix_rt::test]
 async fn slow_headers_close_the_connection() {
     let (fixture, _target) = serving().await;
-    let mut slow = TcpStream::connect(fixture.gateway.at.callers)
+    let mut slow = TcpStream::connect(fixture.gateway.addrs.callers)
         .await
         .expect("it listens");
     slow.write_all(b"GET /safe/ HTTP/1.1\r\nHost: ")
@@ -101,8 +101,8 @@
     )
     .await
     .expect("it starts");
-    assert_eq!(ready_status(gateway.at.readiness).await, 503);
-    let got = Call::new("GET", "/safe/").send(gateway.at.callers).await;
+    assert_eq!(ready_status(gateway.addrs.readiness).await, 503);
+    let got = Call::new("GET", "/safe/").send(gateway.addrs.callers).await;
     assert_eq!(got.status, 503);
     assert!(got.header("retry-after").is_some());
 }
@@ -127,7 +127,7 @@
     let (fixture, _target) = Fixture::serving(&deployment, "plain", script).await;
     assert_eq!(fixture.call(&Call::new("GET", "/safe/")).await.status, 200);
     let request = b"GET /safe/ HTTP/1.1\r\nHost: host.example\r\nX-Request-Id: 5\r\n\r\n";
-    let mut caller = TcpStream::connect(fixture.gateway.at.callers)
+    let mut caller = TcpStream::connect(fixture.gateway.addrs.callers)
         .await
         .expect("it listens");
     for _ in 0..2 {
--- a/crates/gateway/tests/suite/mechanisms.rs
+++ b/crates/gateway/tests/suite/mechanisms.rs
@@ -6,9 +6,9 @@
 #[test]
 fn without_turns_off_named_mechanisms() {
     let all = Mechanisms::default();
-    assert!(all.has(Mechanism::Desk) && all.has(Mechanism::Forecast));
+    assert!(all.has(Mechanism::Scheduler) && all.has(Mechanism::Forecast));
     let some = Mechanisms::without(&["desk".into(), "halls".into()]).expect("the names are known");
-    assert!(!some.has(Mechanism::Desk) && !some.has(Mechanism::Halls));
+    assert!(!some.has(Mechanism::Scheduler) && !some.has(Mechanism::Halls));
     assert!(some.has(Mechanism::Forecast));
 }
 
--- a/crates/gateway/tests/suite/metrics.rs
+++ b/crates/gateway/tests/suite/metrics.rs
@@ -24,7 +24,7 @@
 }
 
 async fn scrape(fixture: &Fixture) -> String {
-    let addr = fixture.gateway.at.metrics.expect("metrics are enabled");
+    let addr = fixture.gateway.addrs.metrics.expect("metrics are enabled");
     let scrape = b"GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
     String::from_utf8(exchange(addr, scrape).await).expect("metrics are UTF-8")
 }
--- a/crates/gateway/tests/suite/regions.rs
+++ b/crates/gateway/tests/suite/regions.rs
@@ -76,7 +76,7 @@
     async fn distinct_answers(&self, call: &Call) -> Vec<String> {
         let mut answers = Vec::new();
         for _ in 0..TRIES {
-            let got = call.send(self.gateway.at.callers).await;
+            let got = call.send(self.gateway.addrs.callers).await;
             answers.push(format!("{} {}", got.status, got.body));
         }
         answers.sort();
@@ -180,7 +180,7 @@
     let gateway = gateway_at(settings_in_south(&store)).await;
     tokio::time::sleep(Duration::from_millis(400)).await;
     for _ in 0..TRIES {
-        let got = Call::new("GET", "/n/").send(gateway.at.callers).await;
+        let got = Call::new("GET", "/n/").send(gateway.addrs.callers).await;
         assert_eq!(got.status, 500);
     }
     assert!(south.received().is_empty());
--- a/crates/gateway/tests/suite/rollouts.rs
+++ b/crates/gateway/tests/suite/rollouts.rs
@@ -92,7 +92,7 @@
     while !is_over() {
         assert!(Instant::now() < until, "not reached within {timeout:?}");
         let calls = gateways.iter().flat_map(|gateway| {
-            let at = gateway.at.callers;
+            let at = gateway.addrs.callers;
             (0..4).map(move |_| async move { Call::new("GET", "/a/").send(at).await })
         });
         let answers = futures_util::future::join_all(calls).await;
@@ -105,7 +105,7 @@
 async fn until_served(gateway: &Running) {
     for _ in 0..400 {
         if Call::new("GET", "/a/")
-            .send(gateway.at.callers)
+            .send(gateway.addrs.callers)
             .await
             .status
             == 200
--- a/crates/gateway/tests/suite/sharing.rs
+++ b/crates/gateway/tests/suite/sharing.rs
@@ -14,7 +14,8 @@
 use serde_json::json;
 
 use crate::fixture::{
-    eventually, gateway, one_event, put_entry_record, runs, until_entries, Call, EntryRecord,
+    eventually, gateway, put_entry_record, single_event_stream, stage_runs, wait_for_entries, Call,
+    EntryRecord,
 };
 
 fn deployment() -> DeploymentJson {
@@ -72,7 +73,7 @@
 
     /// Number of calls with pieces so far.
     fn calls(&self) -> usize {
-        runs(&self.target).len()
+        stage_runs(&self.target).len()
     }
 }
 
@@ -82,7 +83,7 @@
     (0..others).for_each(|number| put_small_entry(&store, number));
     store.put("op/config", &deployment().bytes());
     let worker = SharedWorker::start().await;
-    let engine = TargetStandin::start(one_event).await;
+    let engine = TargetStandin::start(single_event_stream).await;
     store.put_target(
         "i-worker",
         "encoders",
@@ -101,14 +102,14 @@
     let mut gateways = Vec::new();
     for (host, hall) in [(first, "hall-a"), (second, "hall-b"), (owner, "hall-c")] {
         gateways.push(gateway(&store, host, hall).await);
-        until_entries("the entry is recorded", &store, others + gateways.len()).await;
+        wait_for_entries("the entry is recorded", &store, others + gateways.len()).await;
         // Lets it receive its own record first.
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
     before(&store);
     tokio::time::sleep(Duration::from_millis(600)).await;
     let calls = (0..12).map(|number| {
-        let addr = gateways[number % 3].at.callers;
+        let addr = gateways[number % 3].addrs.callers;
         async move { request(number).send(addr).await }
     });
     for got in join_all(calls).await {
@@ -128,10 +129,10 @@
     let [first, _, owner] = hosts_owner_last("encoders/0");
     let one = gateway(&store, first, "hall-a").await;
     let early = request(1);
-    let addr = one.at.callers;
+    let addr = one.addrs.callers;
     let early_response = actix_rt::spawn(async move { early.send(addr).await });
     let other = gateway(&store, owner, "hall-b").await;
-    let late = request(2).send(other.at.callers).await;
+    let late = request(2).send(other.addrs.callers).await;
     assert!(late.is_whole, "{late:?}");
     assert!(
         early_response
@@ -152,7 +153,7 @@
     (0..9).for_each(|number| put_entry(&store, "host-1", number));
     store.set_page_delay(Duration::from_millis(350));
     let one = gateway(&store, "host-1", "hall-a").await;
-    let addr = one.at.callers;
+    let addr = one.addrs.callers;
     let early = request(1).with("X-Deadline-Ms", "8000");
     let early_response = actix_rt::spawn(async move { early.send(addr).await });
     eventually("a call is sent", || worker.calls() > 0).await;
@@ -216,16 +217,16 @@
     let store = StoreStandin::start().await;
     store.put("op/config", &deployment().bytes());
     let worker = TargetStandin::start(|request| vec![Step::Write(results(request, "maker"))]).await;
-    let engine = TargetStandin::start(one_event).await;
+    let engine = TargetStandin::start(single_event_stream).await;
     store.put_target("i-worker", "encoders", worker.addr, "hall-a", "ready");
     store.put_target("i-engine", "engines", engine.addr, "hall-a", "ready");
     let remaining = gateway(&store, "host-1", "hall-a").await;
     let stopping_gateway = gateway(&store, "host-2", "hall-a").await;
-    until_entries("both entries are recorded", &store, 2).await;
+    wait_for_entries("both entries are recorded", &store, 2).await;
     let stopping = actix_rt::spawn(stopping_gateway.stop());
-    until_entries("its record is removed", &store, 1).await;
+    wait_for_entries("its record is removed", &store, 1).await;
     for number in 0..6 {
-        let got = request(number).send(remaining.at.callers).await;
+        let got = request(number).send(remaining.addrs.callers).await;
         assert!(got.is_whole, "{got:?}");
     }
     stopping.await.expect("the gateway stops");
@@ -241,7 +242,7 @@
     store.put("op/config", &deployment.bytes());
     let slow = |request: &ReceivedRequest| {
         let mut steps = vec![Step::Wait(Duration::from_millis(600))];
-        steps.extend(one_event(request));
+        steps.extend(single_event_stream(request));
         steps
     };
     let mut engines = Vec::new();
@@ -255,11 +256,11 @@
         gateway(&store, "host-2", "hall-a").await,
         gateway(&store, "host-3", "hall-a").await,
     ];
-    until_entries("all entries are recorded", &store, 3).await;
+    wait_for_entries("all entries are recorded", &store, 3).await;
     tokio::time::sleep(Duration::from_millis(600)).await;
     // All prompts share a prefix: each gateway alone would choose the same engine.
     let calls = (0..12).map(|number| {
-        let addr = gateways[number % 3].at.callers;
+        let addr = gateways[number % 3].addrs.callers;
         let call = Call::new("POST", "/plain/")
             .with("X-Request-Id", &format!("{number:016x}"))
             .with("X-Token-Counts", "9000,10")
@@ -293,16 +294,16 @@
         vec![Step::Wait(work), Step::Write(results(request, "maker"))]
     })
     .await;
-    let engine = TargetStandin::start(one_event).await;
+    let engine = TargetStandin::start(single_event_stream).await;
     store.put_target("i-worker", "encoders", worker.addr, "hall-a", "ready");
     store.put_target("i-engine", "engines", engine.addr, "hall-a", "ready");
     let one = gateway(&store, "host-1", "hall-a").await;
     let two = gateway(&store, "host-2", "hall-a").await;
-    until_entries("both entries are recorded", &store, 2).await;
+    wait_for_entries("both entries are recorded", &store, 2).await;
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let calls = [one.at.callers, two.at.callers]
+    let calls = [one.addrs.callers, two.addrs.callers]
         .map(|addr| actix_rt::spawn(async move { request(addr.port().into()).send(addr).await }));
-    let calls_made = || runs(&worker).len();
+    let calls_made = || stage_runs(&worker).len();
     eventually("a call is in progress", || calls_made() > 0).await;
     let before = calls_made();
     // Both stop, so the owner of the queue does, whichever it is.
--- a/crates/gateway/tests/suite/stages.rs
+++ b/crates/gateway/tests/suite/stages.rs
@@ -12,7 +12,7 @@
 use hollowsail_platform_standins::{DeploymentJson, ReceivedRequest, Step, TargetStandin};
 use serde_json::{json, Value};
 
-use crate::fixture::{eventually, one_event, runs, Call, Fixture};
+use crate::fixture::{eventually, single_event_stream, stage_runs, Call, Fixture};
 
 fn deployment() -> DeploymentJson {
     deployment_with(json!({}))
@@ -91,7 +91,7 @@
     let fixture = Fixture::start(deployment).await;
     let encoder = TargetStandin::start(encoder).await;
     let ranker = TargetStandin::start(ranker).await;
-    let engine = TargetStandin::start(one_event).await;
+    let engine = TargetStandin::start(single_event_stream).await;
     fixture.add("i-encoder", "encoders", &encoder);
     fixture.add("i-ranker", "rankers", &ranker);
     fixture.add("i-engine", "engines", &engine);
@@ -109,7 +109,7 @@
     let staged = staged(worker("maker-1"), worker("maker-2")).await;
     let got = staged.fixture.call(&request()).await;
     assert!(got.is_whole, "{got:?}");
-    let first = runs(&staged.encoder);
+    let first = stage_runs(&staged.encoder);
     assert_eq!(first.len(), 1, "one call for both pieces");
     let pieces = first[0].pieces();
     assert_eq!(pieces.len(), 2);
@@ -118,7 +118,7 @@
         (&json!("the-key"), &json!(null))
     );
     assert_eq!(first[0].header("x-expect-instance"), "i-encoder");
-    let second = runs(&staged.ranker);
+    let second = stage_runs(&staged.ranker);
     let pieces = second[0].pieces();
     assert_eq!(pieces.len(), 3);
     assert_eq!(
@@ -159,10 +159,10 @@
         ]
     };
     let staged = staged(worker("maker-1"), slow).await;
-    let at = staged.fixture.gateway.at.callers;
+    let at = staged.fixture.gateway.addrs.callers;
     let caller = request().begin(at).await;
     eventually("the second stage begins", || {
-        !runs(&staged.ranker).is_empty()
+        !stage_runs(&staged.ranker).is_empty()
     })
     .await;
     drop(caller);
@@ -192,8 +192,12 @@
     .await;
     let got = staged.fixture.call(&request()).await;
     assert!(got.is_whole, "{got:?}");
-    assert_eq!(runs(&staged.encoder).len(), 2, "both pieces are reproduced");
-    for call in runs(&staged.ranker) {
+    assert_eq!(
+        stage_runs(&staged.encoder).len(),
+        2,
+        "both pieces are reproduced"
+    );
+    for call in stage_runs(&staged.ranker) {
         for piece in call.pieces() {
             assert_eq!(
                 piece["inputs"].as_array().map(Vec::len),
@@ -244,7 +248,7 @@
 async fn stop_during_stages_is_503() {
     let silent = |_: &ReceivedRequest| vec![Step::Wait(Duration::from_secs(9))];
     let staged = staged(silent, worker("maker-2")).await;
-    let at = staged.fixture.gateway.at.callers;
+    let at = staged.fixture.gateway.addrs.callers;
     let call = request().with("X-Deadline-Ms", "30000");
     let waiting = actix_rt::spawn(async move { call.send(at).await });
     tokio::time::sleep(Duration::from_millis(100)).await;
@@ -270,7 +274,7 @@
         assert!(got.is_whole, "{got:?}");
     }
     assert!(
-        !runs(&staged.encoder).is_empty(),
+        !stage_runs(&staged.encoder).is_empty(),
         "the silent worker was tried"
     );
 }
@@ -282,7 +286,7 @@
     let ranker = TargetStandin::start(worker("maker-2")).await;
     let engine = TargetStandin::start(|request| match request.earlier_requests {
         0 => vec![Step::Write(not_run(409))],
-        _ => one_event(request),
+        _ => single_event_stream(request),
     })
     .await;
     fixture.add("i-encoder", "encoders", &encoder);
@@ -292,7 +296,11 @@
     let got = fixture.call(&request()).await;
     assert!(got.is_whole, "{got:?}");
     assert_eq!(engine.received().len(), 2);
-    assert_eq!(runs(&encoder).len(), 2, "repeated from the first stage");
+    assert_eq!(
+        stage_runs(&encoder).len(),
+        2,
+        "repeated from the first stage"
+    );
 }
 
 /// A stream of two events, 600 ms apart.
@@ -316,7 +324,7 @@
     fixture.add("i-ranker", "rankers", &ranker);
     fixture.add("i-engine", "engines", &engine);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let at = fixture.gateway.at.callers;
+    let at = fixture.gateway.addrs.callers;
     let caller = actix_rt::spawn(async move { request().send(at).await });
     eventually("the engine has the request", || {
         !engine.received().is_empty()
@@ -345,7 +353,7 @@
     fixture.add("i-ranker", "rankers", &ranker);
     fixture.add("i-bad", "engines", &bad);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let at = fixture.gateway.at.callers;
+    let at = fixture.gateway.addrs.callers;
     let caller = actix_rt::spawn(async move { request().send(at).await });
     eventually("the engine has the request", || !bad.received().is_empty()).await;
     let good = TargetStandin::start(|request| {
@@ -364,7 +372,7 @@
     assert_eq!(again.header("last-event-id"), "1");
     assert_eq!(again.request_id(), first.request_id());
     assert_ne!(again.header("x-inputs"), "");
-    assert_eq!(runs(&ranker).len(), 2, "reproduced");
+    assert_eq!(stage_runs(&ranker).len(), 2, "reproduced");
 }
 
 #[actix_rt::test]
@@ -376,7 +384,7 @@
         ]
     };
     let staged = staged(slow, worker("maker-2")).await;
-    let at = staged.fixture.gateway.at.callers;
+    let at = staged.fixture.gateway.addrs.callers;
     let calls = (0..30).map(|number| {
         let call = request().with("X-Request-Id", &format!("{number:016x}"));
         actix_rt::spawn(async move { call.send(at).await })
@@ -424,11 +432,11 @@
         ]
     })
     .await;
-    let engine = TargetStandin::start(one_event).await;
+    let engine = TargetStandin::start(single_event_stream).await;
     fixture.add("i-encoder", "encoders", &encoder);
     fixture.add("i-engine", "engines", &engine);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let at = fixture.gateway.at.callers;
+    let at = fixture.gateway.addrs.callers;
     let busy = [("/cheap/", "key-two", "00")];
     let mut sent = Vec::new();
     for &(path, key, id) in busy.iter().chain(calls) {
@@ -441,12 +449,12 @@
             .with("Authorization", &format!("Bearer {key}"))
             .body("prompt");
         sent.push(actix_rt::spawn(async move { call.send(at).await }));
-        eventually("the encoder is busy", || !runs(&encoder).is_empty()).await;
+        eventually("the encoder is busy", || !stage_runs(&encoder).is_empty()).await;
     }
     for answer in sent {
         assert_eq!(answer.await.expect("it is answered").status, 200);
     }
-    let ids = runs(&encoder).into_iter().skip(1);
+    let ids = stage_runs(&encoder).into_iter().skip(1);
     ids.map(|run| {
         run.pieces()[0]["id"]
             .as_str()
--- a/crates/gateway/tests/suite/stopping.rs
+++ b/crates/gateway/tests/suite/stopping.rs
@@ -6,7 +6,7 @@
 use hollowsail_platform_standins::target::answer;
 use hollowsail_platform_standins::{ReceivedRequest, Step, StoreMode, StoreStandin, TargetStandin};
 
-use crate::fixture::{plain_deployment, ready_status, settings, until_entries, Call, Fixture};
+use crate::fixture::{plain_deployment, ready_status, settings, wait_for_entries, Call, Fixture};
 
 /// A gateway with one target, which answers after `after`.
 async fn serving(after: Duration) -> (Running, TargetStandin) {
@@ -24,7 +24,7 @@
 #[actix_rt::test]
 async fn requests_late_in_a_stop_are_refused() {
     let (gateway, target) = serving(Duration::from_millis(1_900)).await;
-    let at = gateway.at.clone();
+    let at = gateway.addrs.clone();
     let stopping = actix_rt::spawn(gateway.stop());
     tokio::time::sleep(Duration::from_millis(100)).await;
     let long = actix_rt::spawn(async move { Call::new("GET", "/safe/").send(at.callers).await });
@@ -45,10 +45,10 @@
 #[actix_rt::test]
 async fn stop_is_unready_and_serves_early_requests() {
     let (gateway, _target) = serving(Duration::from_millis(900)).await;
-    let at = gateway.at.clone();
+    let at = gateway.addrs.clone();
     let early = actix_rt::spawn(async move { Call::new("GET", "/safe/").send(at.callers).await });
     tokio::time::sleep(Duration::from_millis(100)).await;
-    let at = gateway.at.clone();
+    let at = gateway.addrs.clone();
     let stopping = actix_rt::spawn(gateway.stop());
     tokio::time::sleep(Duration::from_millis(50)).await;
     assert_eq!(ready_status(at.readiness).await, 503);
@@ -74,10 +74,10 @@
     )
     .await
     .expect("the gateway starts");
-    until_entries("the record is written", &store, 1).await;
+    wait_for_entries("the record is written", &store, 1).await;
     let stopping = actix_rt::spawn(gateway.stop());
     let begun = Instant::now();
-    until_entries("the record is gone", &store, 0).await;
+    wait_for_entries("the record is gone", &store, 0).await;
     assert!(
         begun.elapsed() < Duration::from_secs(3),
         "long before its lease expires"
