--- a/crates/gateway/tests/suite/store_faults.rs
+++ b/crates/gateway/tests/suite/store_faults.rs
@@ -8,7 +8,7 @@
 use hollowsail_platform_standins::{ReceivedRequest, Step, StoreMode, StoreStandin, TargetStandin};
 
 use crate::fixture::{
-    gateway, plain_deployment, ready_status, settings, until_entries, Call, Fixture,
+    gateway, plain_deployment, ready_status, settings, wait_for_entries, Call, Fixture,
 };
 
 async fn target(body: &'static str) -> TargetStandin {
@@ -25,7 +25,7 @@
 }
 
 async fn until_status(fixture: &Fixture, path: &str, status: u16) {
-    until_status_at(fixture.gateway.at.callers, path, status).await;
+    until_status_at(fixture.gateway.addrs.callers, path, status).await;
 }
 
 async fn until_status_at(at: SocketAddr, path: &str, status: u16) {
@@ -117,7 +117,7 @@
     tokio::time::sleep(Duration::from_millis(300)).await;
     let before = gone.received().len();
     for _ in 0..8 {
-        let got = Call::new("GET", "/a/").send(gateway.at.callers).await;
+        let got = Call::new("GET", "/a/").send(gateway.addrs.callers).await;
         assert_eq!(got.body, "two");
     }
     assert_eq!(gone.received().len(), before);
@@ -158,7 +158,7 @@
     }
     store.set_page_delay(Duration::from_millis(200));
     let gateway = gateway(&store, "host-1", "hall-a").await;
-    until_status_at(gateway.at.callers, "/a/", 200).await;
+    until_status_at(gateway.addrs.callers, "/a/", 200).await;
     let calls = store.calls();
     let is_page = |call: &&String| call.contains("kv-range") && call.contains("servers/");
     let pages = calls.iter().filter(is_page).count();
@@ -234,8 +234,8 @@
         .expect("gateway starts");
         let (one, two) = (target("one").await, target("two").await);
         fixture.add("i-1", "plain", &one);
-        until_status_at(cut_off.at.callers, "/a/", 200).await;
-        until_entries("both entries are registered", &fixture.store, 2).await;
+        until_status_at(cut_off.addrs.callers, "/a/", 200).await;
+        wait_for_entries("both entries are registered", &fixture.store, 2).await;
         tokio::time::sleep(Duration::from_millis(400)).await;
         endpoint.set_mode(mode);
         fixture
@@ -245,10 +245,10 @@
         fixture
             .store
             .put_target("i-1", "plain", one.addr, "hall-a", "draining");
-        until_status_at(cut_off.at.callers, "/b/", 200).await;
+        until_status_at(cut_off.addrs.callers, "/b/", 200).await;
         tokio::time::sleep(Duration::from_millis(1_000)).await;
         for _ in 0..8 {
-            let got = Call::new("GET", "/b/").send(cut_off.at.callers).await;
+            let got = Call::new("GET", "/b/").send(cut_off.addrs.callers).await;
             assert_eq!(got.body, "two", "{mode:?}");
         }
     }
@@ -269,12 +269,12 @@
     let endpoint = fixture.store.add_endpoint().await;
     endpoint.set_mode(StoreMode::Refusing);
     let mut starting = settings("host-2", "hall-b", endpoint.addr);
-    starting.seeds = vec![fixture.gateway.at.peers];
+    starting.seeds = vec![fixture.gateway.addrs.peers];
     let starting = hollowsail_gateway::start(starting, Mechanisms::default())
         .await
         .expect("gateway starts");
-    until_status_at(starting.at.callers, "/a/", 200).await;
-    assert_eq!(ready_status(starting.at.readiness).await, 200);
+    until_status_at(starting.addrs.callers, "/a/", 200).await;
+    assert_eq!(ready_status(starting.addrs.readiness).await, 200);
 }
 
 #[actix_rt::test]
@@ -284,7 +284,7 @@
     fixture.add("i-1", "plain", &one);
     let second = gateway(&fixture.store, "host-2", "hall-b").await;
     until_status(&fixture, "/a/", 200).await;
-    until_status_at(second.at.callers, "/a/", 200).await;
+    until_status_at(second.addrs.callers, "/a/", 200).await;
 }
 
 #[actix_rt::test]
@@ -306,7 +306,7 @@
     fixture.add("i-2", "plain", &two);
     for _ in 0..300 {
         if Call::new("GET", "/a/")
-            .send(fixture.gateway.at.callers)
+            .send(fixture.gateway.addrs.callers)
             .await
             .body
             == "two"
@@ -333,7 +333,7 @@
 #[actix_rt::test]
 async fn request_waits_for_first_configuration() {
     let (store, running) = start_without_configuration().await;
-    let at = running.at.callers;
+    let at = running.addrs.callers;
     let early = actix_rt::spawn(async move { Call::new("GET", "/none/").send(at).await });
     tokio::time::sleep(Duration::from_millis(50)).await;
     store.put("op/config", &plain_deployment(1, "/a/").bytes());
@@ -348,7 +348,7 @@
 async fn request_without_configuration_gets_503() {
     let (_store, running) = start_without_configuration().await;
     let started = Instant::now();
-    let got = Call::new("GET", "/a/").send(running.at.callers).await;
+    let got = Call::new("GET", "/a/").send(running.addrs.callers).await;
     assert_eq!(got.status, 503, "{got:?}");
     assert!(got.body.starts_with("no_configuration"), "{got:?}");
     assert!(got.header("retry-after").is_some());
--- a/crates/gateway/tests/suite/store_followers.rs
+++ b/crates/gateway/tests/suite/store_followers.rs
@@ -3,12 +3,12 @@
 use std::time::{Duration, Instant};
 
 use hollowsail_fleet::ownership::Candidate;
-use hollowsail_fleet::readers;
+use hollowsail_fleet::store_followers;
 use hollowsail_gateway::Running;
 use hollowsail_platform_standins::target::answer;
 use hollowsail_platform_standins::{Step, StoreEndpoint, StoreMode, StoreStandin, TargetStandin};
 
-use crate::fixture::{gateway_at, plain_deployment, settings, until_entries, Call};
+use crate::fixture::{gateway_at, plain_deployment, settings, wait_for_entries, Call};
 
 /// Entries in the hall.
 const ENTRIES: usize = 9;
@@ -38,7 +38,7 @@
             gateways.push(gateway_at(settings(name, "hall-a", endpoint.addr)).await);
             endpoints.push(endpoint);
         }
-        until_entries("all entries", &store, ENTRIES).await;
+        wait_for_entries("all entries", &store, ENTRIES).await;
         tokio::time::sleep(SETTLED).await;
         Hall {
             store,
@@ -54,9 +54,9 @@
         let entries = self.names.iter().map(|host| Candidate {
             host,
             capacity: 1,
-            is_slow: false,
+            is_lagging: false,
         });
-        readers::choose("hall-a", entries).expect("the hall is large")
+        store_followers::choose("hall-a", entries).expect("the hall is large")
     }
 
     /// Stores a configuration and returns the time until all entries serve by it, except
@@ -68,7 +68,7 @@
             .put("op/config", &plain_deployment(version, &prefix).bytes());
         for (index, gateway) in self.gateways.iter().enumerate() {
             while !without.contains(&index) && put.elapsed() < Duration::from_secs(8) {
-                let got = Call::new("GET", &prefix).send(gateway.at.callers).await;
+                let got = Call::new("GET", &prefix).send(gateway.addrs.callers).await;
                 if got.status == 200 {
                     break;
                 }
@@ -100,7 +100,7 @@
     hall.store.put("op/evacuate/hall-a", b"{}");
     tokio::time::sleep(Duration::from_millis(1_200)).await;
     for gateway in &hall.gateways {
-        let got = Call::new("GET", "/v2/").send(gateway.at.callers).await;
+        let got = Call::new("GET", "/v2/").send(gateway.addrs.callers).await;
         assert_eq!(got.status, 503, "the hall is evacuated at every entry");
     }
 }
@@ -170,7 +170,12 @@
     hall.store.forget_history();
     let lost = Instant::now();
     for gateway in &hall.gateways {
-        while Call::new("GET", "/v1/").send(gateway.at.callers).await.body != "two" {
+        while Call::new("GET", "/v1/")
+            .send(gateway.addrs.callers)
+            .await
+            .body
+            != "two"
+        {
             assert!(
                 lost.elapsed() < Duration::from_secs(3),
                 "an entry still uses the deleted target"
--- a/crates/gateway/tests/suite/store_restore.rs
+++ b/crates/gateway/tests/suite/store_restore.rs
@@ -12,7 +12,7 @@
 use serde_json::json;
 
 use crate::fixture::{
-    eventually, gateway, gateway_at, plain_deployment, settings, until_entries, Call,
+    eventually, gateway, gateway_at, plain_deployment, settings, wait_for_entries, Call,
 };
 
 /// Length of the lost history: shorter than the time before a test's first change.
@@ -53,7 +53,7 @@
         };
         fleet.put(0, "ready");
         fleet.put(1, "ready");
-        until_entries("the entry is registered", &fleet.store, 1).await;
+        wait_for_entries("the entry is registered", &fleet.store, 1).await;
         tokio::time::sleep(LOST_HISTORY + Duration::from_millis(300)).await;
         fleet
     }
@@ -71,7 +71,7 @@
     }
 
     fn at(&self) -> SocketAddr {
-        self.entry.at.callers
+        self.entry.addrs.callers
     }
 
     /// Sends requests and returns how many each target received.
@@ -251,7 +251,7 @@
     for number in 0..6 {
         entries.push(gateway(&store, &format!("host-{number}"), "hall-a").await);
     }
-    until_entries("all entries are registered", &store, 6).await;
+    wait_for_entries("all entries are registered", &store, 6).await;
     let before = store.keys("hollowsail/peers/");
     store.restore(Duration::from_secs(30));
     assert_eq!(
@@ -260,7 +260,7 @@
         "all records are lost"
     );
     let started = Instant::now();
-    until_entries("all entries are registered again", &store, 6).await;
+    wait_for_entries("all entries are registered again", &store, 6).await;
     assert!(
         started.elapsed() < REWRITE_TIMEOUT,
         "{:?}",
@@ -279,12 +279,12 @@
     let store = StoreStandin::start().await;
     store.put("op/config", &plain_deployment(1, "/a/").bytes());
     let first = gateway(&store, "host-1", "hall-a").await;
-    until_entries("the entry is registered", &store, 1).await;
+    wait_for_entries("the entry is registered", &store, 1).await;
     let second = gateway(&store, "host-2", "hall-a").await;
-    until_entries("both entries are registered", &store, 2).await;
+    wait_for_entries("both entries are registered", &store, 2).await;
     store.restore(Duration::from_secs(30));
     store.put("op/config", &plain_deployment(1, "/a/").bytes());
-    until_entries("both entries are registered again", &store, 2).await;
+    wait_for_entries("both entries are registered again", &store, 2).await;
     first.stop().await;
     tokio::time::sleep(Duration::from_millis(300)).await;
     let left = store.keys("hollowsail/peers/");
@@ -306,7 +306,7 @@
         let [evacuated, _] = fleet.requests_per_target(4).await;
         assert_eq!(evacuated, 0);
     }
-    until_entries("the entry is registered again", &fleet.store, 1).await;
+    wait_for_entries("the entry is registered again", &fleet.store, 1).await;
 }
 
 /// The first call in the new epoch is a write whose response is lost.
@@ -367,7 +367,7 @@
     for (target, before) in rack.iter().zip(before) {
         assert!(target.received().len() > before, "the new targets serve");
     }
-    until_entries("the entry is registered again", &fleet.store, 1).await;
+    wait_for_entries("the entry is registered again", &fleet.store, 1).await;
 }
 
 /// One entry is cut off from the store during the restore and knows only the old epoch.
@@ -376,7 +376,7 @@
     let fleet = Fleet::start().await;
     let endpoint = fleet.store.add_endpoint().await;
     let other = gateway_at(settings("host-2", "hall-a", endpoint.addr)).await;
-    until_entries("both entries are registered", &fleet.store, 2).await;
+    wait_for_entries("both entries are registered", &fleet.store, 2).await;
     tokio::time::sleep(LOST_HISTORY + Duration::from_millis(300)).await;
     fleet.write_unrelated_keys();
     wait_for_propagation().await;
@@ -387,7 +387,7 @@
     tokio::time::sleep(Duration::from_millis(3_500)).await;
     let before = fleet.received();
     for _ in 0..12 {
-        let refused = call().send(other.at.callers).await;
+        let refused = call().send(other.addrs.callers).await;
         assert_eq!(
             refused.status, 503,
             "the cut-off entry has the other's state"
@@ -402,7 +402,7 @@
     endpoint.set_mode(StoreMode::Up);
     fleet.store.delete("op/evacuate/hall-b");
     tokio::time::sleep(DRAIN_TIMEOUT).await;
-    assert_eq!(call().send(other.at.callers).await.status, 200);
+    assert_eq!(call().send(other.addrs.callers).await.status, 200);
 }
 
 /// The entry that wrote a lost refusal writes it again with the remaining time.
@@ -418,12 +418,12 @@
         targets.push(target);
     }
     let entry = gateway(&store, "host-1", "hall-a").await;
-    until_entries("the entry is registered", &store, 1).await;
+    wait_for_entries("the entry is registered", &store, 1).await;
     wait_for_propagation().await;
     let fatal = call().body("fatal");
     let refused = || store.keys("hollowsail/refused/").len();
     for _ in 0..8 {
-        fatal.send(entry.at.callers).await;
+        fatal.send(entry.addrs.callers).await;
     }
     eventually("the request is refused", || refused() == 1).await;
     let crashed = targets.iter().filter(|target| target.has_crashed()).count();
@@ -435,7 +435,7 @@
     }
     eventually("the refusal is written again", || refused() == 1).await;
     for _ in 0..8 {
-        assert_eq!(fatal.send(entry.at.callers).await.status, 503);
+        assert_eq!(fatal.send(entry.addrs.callers).await.status, 503);
     }
     let after = targets.iter().filter(|target| target.has_crashed()).count();
     assert_eq!(after, crashed, "no other target crashes");
@@ -456,9 +456,9 @@
     let (first, second) = (silent.await, target("second").await);
     store.put_target("i-0", "plain", first.addr, "hall-a", "ready");
     let entry = gateway(&store, "host-1", "hall-a").await;
-    until_entries("the entry is registered", &store, 1).await;
+    wait_for_entries("the entry is registered", &store, 1).await;
     wait_for_propagation().await;
-    let at = entry.at.callers;
+    let at = entry.addrs.callers;
     let sent = actix_rt::spawn(async move {
         let once = Call::new("POST", "/once/x").with("X-Deadline-Ms", "4000");
         once.body("pay").send(at).await
@@ -492,12 +492,12 @@
         let hall = HALLS[number % 2];
         entries.push(gateway(&store, &format!("host-{number}"), hall).await);
     }
-    until_entries("all entries are registered", &store, ENTRIES).await;
+    wait_for_entries("all entries are registered", &store, ENTRIES).await;
     wait_for_propagation().await;
     store.restore(Duration::from_secs(60));
     store.put("op/config", &plain_deployment(1, "/a/").bytes());
     let (started, calls) = (Instant::now(), store.calls().len());
-    until_entries("all entries are registered again", &store, ENTRIES).await;
+    wait_for_entries("all entries are registered again", &store, ENTRIES).await;
     let took = started.elapsed();
     tokio::time::sleep(REWRITE_TIMEOUT.saturating_sub(took)).await;
     let all = store.calls();
@@ -537,8 +537,8 @@
     })
     .await;
     wait_for_propagation().await;
-    assert_eq!(call().send(entry.at.callers).await.status, 200);
+    assert_eq!(call().send(entry.addrs.callers).await.status, 200);
     store.put_target("i-1", "plain", target.addr, "hall-a", "draining");
     wait_for_propagation().await;
-    assert_eq!(call().send(entry.at.callers).await.status, 503);
+    assert_eq!(call().send(entry.addrs.callers).await.status, 503);
 }
--- a/crates/gateway/tests/suite/streams.rs
+++ b/crates/gateway/tests/suite/streams.rs
@@ -78,7 +78,7 @@
     let (fixture, _target) = Fixture::serving(&deployment(), "engines", slow).await;
     assert!(fixture.call(&request("/once/")).await.is_whole);
     let started = Instant::now();
-    let mut caller = request("/once/").begin(fixture.gateway.at.callers).await;
+    let mut caller = request("/once/").begin(fixture.gateway.addrs.callers).await;
     let mut text = String::new();
     let mut buf = [0; 4096];
     while !text.contains("event 1") {
@@ -140,7 +140,7 @@
     };
     let (fixture, target) = Fixture::serving(&deployment(), "engines", endless).await;
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let mut caller = request("/once/").begin(fixture.gateway.at.callers).await;
+    let mut caller = request("/once/").begin(fixture.gateway.addrs.callers).await;
     let mut buf = [0; 64];
     caller.read_exact(&mut buf).await.expect("it answers");
     drop(caller);
--- a/crates/gateway/tests/suite/target_limits.rs
+++ b/crates/gateway/tests/suite/target_limits.rs
@@ -15,7 +15,7 @@
 
 use crate::all_kinds::{deployment, staged, whole_answer};
 use crate::fixture::{
-    eventually, gateway, generation, put_entry_record, until_entries, Answer, Call,
+    eventually, gateway, generation, put_entry_record, wait_for_entries, Answer, Call,
 };
 
 /// Window over which requests to a target are counted.
@@ -158,7 +158,7 @@
     async fn add_entry(&mut self, host: &str) {
         self.entries
             .push(gateway(&self.store, host, "hall-a").await);
-        until_entries("all entries are recorded", &self.store, self.entries.len()).await;
+        wait_for_entries("all entries are recorded", &self.store, self.entries.len()).await;
     }
 
     /// The target with the most requests so far; a shared prefix is cached by one engine.
@@ -171,7 +171,10 @@
     }
 
     fn callers(&self) -> Vec<SocketAddr> {
-        self.entries.iter().map(|entry| entry.at.callers).collect()
+        self.entries
+            .iter()
+            .map(|entry| entry.addrs.callers)
+            .collect()
     }
 
     /// Sends requests at a steady rate, spread over the entries.
--- a/crates/gateway/tests/suite/warm_up.rs
+++ b/crates/gateway/tests/suite/warm_up.rs
@@ -6,7 +6,7 @@
 use hollowsail_platform_standins::{DeploymentJson, Step, StoreStandin, TargetStandin};
 use serde_json::json;
 
-use crate::fixture::{gateway, until_entries, Call};
+use crate::fixture::{gateway, wait_for_entries, Call};
 
 /// Requests per second that a target may get while it is warming up.
 const PER_S: f64 = 10.0;
@@ -28,10 +28,10 @@
     let (warm, warming_up) = (target("warm").await, target("cold").await);
     store.put_target("i-1", "plain", warm.addr, "hall-a", "ready");
     let gateway = gateway(&store, "host-1", "hall-a").await;
-    until_entries("the entry is recorded", &store, 1).await;
+    wait_for_entries("the entry is recorded", &store, 1).await;
     store.put_warming_up_target("i-2", "plain", warming_up.addr, Duration::from_secs(9));
     for _ in 0..400 {
-        Call::new("GET", "/a/").send(gateway.at.callers).await;
+        Call::new("GET", "/a/").send(gateway.addrs.callers).await;
         if !warming_up.received().is_empty() {
             break;
         }
@@ -39,7 +39,7 @@
     }
     let (before, begun) = (warming_up.received().len(), Instant::now());
     while begun.elapsed() < Duration::from_secs(1) {
-        let got = Call::new("GET", "/a/").send(gateway.at.callers).await;
+        let got = Call::new("GET", "/a/").send(gateway.addrs.callers).await;
         assert_eq!(got.status, 200);
     }
     let received = warming_up.received().len() - before;
@@ -52,7 +52,7 @@
     let before = warming_up.received().len();
     // With the better of two random targets chosen, the slower one gets about a quarter.
     for _ in 0..300 {
-        Call::new("GET", "/a/").send(gateway.at.callers).await;
+        Call::new("GET", "/a/").send(gateway.addrs.callers).await;
     }
     let used = warming_up.received().len() - before;
     assert!(used > 50, "got {used} of 300 requests after its warm-up");
@@ -65,11 +65,11 @@
     let warming_up = target("cold").await;
     store.put_warming_up_target("i-1", "plain", warming_up.addr, Duration::from_secs(9));
     let gateway = gateway(&store, "host-1", "hall-a").await;
-    until_entries("the entry is recorded", &store, 1).await;
+    wait_for_entries("the entry is recorded", &store, 1).await;
     let mut refused = 0;
     for _ in 0..100 {
         let sent = Instant::now();
-        let got = Call::new("GET", "/a/").send(gateway.at.callers).await;
+        let got = Call::new("GET", "/a/").send(gateway.addrs.callers).await;
         assert!(sent.elapsed() < Duration::from_millis(150));
         refused += u32::from(got.status == 503 && got.header("Retry-After").is_some());
     }
@@ -91,13 +91,13 @@
     for number in 0..16 {
         entries.push(gateway(&store, &format!("host-{number}"), "hall-a").await);
     }
-    until_entries("all are recorded", &store, 16).await;
+    wait_for_entries("all are recorded", &store, 16).await;
     let warming_up = target("cold").await;
     store.put_warming_up_target("i-1", "plain", warming_up.addr, Duration::from_secs(60));
     tokio::time::sleep(Duration::from_millis(500)).await;
     let call_all = || {
         futures_util::future::join_all(entries.iter().map(|entry| {
-            let addr = entry.at.callers;
+            let addr = entry.addrs.callers;
             async move { Call::new("GET", "/a/").send(addr).await }
         }))
     };
--- a/crates/gateway/tests/suspended/main.rs
+++ b/crates/gateway/tests/suspended/main.rs
@@ -7,13 +7,13 @@
 
 use std::time::{Duration, Instant};
 
-use hollowsail_clock::pretended::suspend;
+use hollowsail_clock::simulated::suspend;
 use hollowsail_platform_standins::target::{answer, results};
 use hollowsail_platform_standins::{DeploymentJson, ReceivedRequest, Step, TargetStandin};
 use serde_json::json;
 use tokio::sync::Mutex;
 
-use fixture::{one_event, plain_deployment, runs, Call, Fixture};
+use fixture::{plain_deployment, single_event_stream, stage_runs, Call, Fixture};
 
 /// Duration of the suspension: longer than any deadline here.
 const SUSPENSION: Duration = Duration::from_secs(10);
@@ -86,7 +86,7 @@
         vec![work, Step::Write(results(request, "maker"))]
     })
     .await;
-    let engine = TargetStandin::start(one_event).await;
+    let engine = TargetStandin::start(single_event_stream).await;
     fixture.add("i-worker", "encoders", &worker);
     fixture.add("i-engine", "engines", &engine);
     tokio::time::sleep(Duration::from_millis(300)).await;
@@ -98,7 +98,7 @@
             .with("X-Pieces", "1")
             .with("X-Piece-Key", "the-key")
     };
-    let addr = fixture.gateway.at.callers;
+    let addr = fixture.gateway.addrs.callers;
     let (first, waiting) = (staged("00000000000000f1"), staged("00000000000000f2"));
     let _first = first.begin(addr).await;
     tokio::time::sleep(Duration::from_millis(60)).await;
@@ -107,7 +107,7 @@
     suspend(SUSPENSION);
     let begun = Instant::now();
     tokio::time::sleep(Duration::from_millis(600)).await;
-    let pieces = runs(&worker);
+    let pieces = stage_runs(&worker);
     let pieces = pieces.iter().flat_map(ReceivedRequest::pieces);
     let ran: Vec<String> = pieces.map(|piece| piece["id"].to_string()).collect();
     assert!(ran[0].contains("f1"), "{ran:?}");
--- a/crates/ledger/src/claim.rs
+++ b/crates/ledger/src/claim.rs
@@ -44,7 +44,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Claimed {
+pub enum ClaimOutcome {
     /// This claim owns the id: run the request.
     Ours,
     /// Another claim was first; contact its owner.
@@ -55,7 +55,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Progress {
     Next(ClaimStep),
-    End(Claimed),
+    End(ClaimOutcome),
 }
 
 /// A claim in progress.
@@ -85,7 +85,7 @@
     /// run, although the key may remain in the store.
     pub fn answer(&mut self, answer: StoreAnswer) -> Progress {
         match (self.step, answer) {
-            (ClaimStep::Create, StoreAnswer::Created) => Progress::End(Claimed::Ours),
+            (ClaimStep::Create, StoreAnswer::Created) => Progress::End(ClaimOutcome::Ours),
             (_, StoreAnswer::Found(found)) => Progress::End(self.claimed_by(&found)),
             (ClaimStep::Create, StoreAnswer::Lost) => self.advance(ClaimStep::Read),
             (ClaimStep::Read, StoreAnswer::Absent) => self.advance(ClaimStep::Create),
@@ -93,11 +93,11 @@
         }
     }
 
-    fn claimed_by(&self, found: &ClaimValue) -> Claimed {
+    fn claimed_by(&self, found: &ClaimValue) -> ClaimOutcome {
         if *found == self.value {
-            Claimed::Ours
+            ClaimOutcome::Ours
         } else {
-            Claimed::Theirs(found.owner)
+            ClaimOutcome::Theirs(found.owner)
         }
     }
 
@@ -112,7 +112,7 @@
 /// `sent` and `wall_now` are wall-clock milliseconds, `claim_ms` is the retention of
 /// claims. Half of the retention is a margin between the last time an id is accepted and
 /// the first time its claim may be evicted.
-pub fn id_is_young(sent: Millis, wall_now: Millis, claim_ms: Millis) -> bool {
+pub fn is_id_claimable(sent: Millis, wall_now: Millis, claim_ms: Millis) -> bool {
     let age = wall_now.saturating_sub(sent);
     sent <= wall_now + MAX_CLOCK_LEAD_MS && age < claim_ms / 2
 }
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -50,17 +50,17 @@
 
 /// Outcome of presenting a ticket or claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Presented {
+pub enum PresentOutcome {
     /// First presentation: run the request, then call [`Ledger::close`].
     Run,
     /// The request is running; wait for its answer.
     Wait,
     /// The request has ended with this answer.
-    Kept(Vec<u8>),
+    Retained(Vec<u8>),
     /// The request has ended, but its answer was dropped.
     AnswerDropped,
     /// The ticket or id was used for another request or organisation.
-    OtherRequest,
+    RequestMismatch,
     /// The ticket or id has expired. The request isn't run now, but may have run before.
     Expired,
     /// This ledger isn't responsible for the issuer.
@@ -75,7 +75,7 @@
     HandedOver,
     /// Refused, but there was no space to record the refusal: a later presentation may
     /// still run.
-    Unsure,
+    RefusedUnrecorded,
 }
 
 #[derive(Debug, Clone)]
@@ -122,7 +122,7 @@
     refused: HashMap<RecordId, Millis>,
     /// Every record, ordered by expiry.
     by_expiry: BTreeSet<(Millis, RecordId)>,
-    /// Evicted claims that [`Ledger::housekeep`] hasn't returned yet.
+    /// Evicted claims that [`Ledger::evict_expired`] hasn't returned yet.
     evicted_claims: Vec<[u8; 32]>,
     open_count: usize,
     next_number: u64,
@@ -166,7 +166,7 @@
     }
 
     /// True when this ledger is responsible for tickets of `issuer`.
-    pub fn answers_for(&self, issuer: Incarnation) -> bool {
+    pub fn is_responsible_for(&self, issuer: Incarnation) -> bool {
         self.issuers.contains_key(&issuer)
     }
 
@@ -175,12 +175,12 @@
         now: Millis,
         ticket: &Ticket,
         identity: &Identity,
-    ) -> Presented {
+    ) -> PresentOutcome {
         let Some(clock) = self.issuers.get(&ticket.issuer) else {
-            return Presented::NotIssuer;
+            return PresentOutcome::NotIssuer;
         };
         if ticket.org != identity.org {
-            return Presented::OtherRequest;
+            return PresentOutcome::RequestMismatch;
         }
         let id = RecordId {
             issuer: ticket.issuer,
@@ -199,9 +199,9 @@
         id: RecordId,
         identity: &Identity,
         is_new_claim: bool,
-    ) -> Presented {
+    ) -> PresentOutcome {
         if !self.issuers.contains_key(&id.issuer) {
-            return Presented::NotIssuer;
+            return PresentOutcome::NotIssuer;
         }
         self.present(now, id, identity, now + self.bounds.claim_ms, is_new_claim)
     }
@@ -213,25 +213,25 @@
         identity: &Identity,
         expires: Millis,
         can_open: bool,
-    ) -> Presented {
+    ) -> PresentOutcome {
         if let Some(record) = self.records.get(&id) {
             return outcome_of(record, identity);
         }
         if self.refused.contains_key(&id) {
-            return Presented::Refused;
+            return PresentOutcome::Refused;
         }
         if !can_open {
-            return Presented::Expired;
+            return PresentOutcome::Expired;
         }
         if self.handed_over {
-            return Presented::HandedOver;
+            return PresentOutcome::HandedOver;
         }
         self.evict_expired_records(now);
         if self.stopped {
-            return self.refuse(id, expires, Presented::Stopped);
+            return self.refuse(id, expires, PresentOutcome::Stopped);
         }
         if self.records.len() >= self.bounds.records {
-            return self.refuse(id, expires, Presented::Full);
+            return self.refuse(id, expires, PresentOutcome::Full);
         }
         self.insert(
             id,
@@ -242,13 +242,13 @@
             },
         );
         self.open_count += 1;
-        Presented::Run
+        PresentOutcome::Run
     }
 
     /// Records a permanent refusal, if there is space for it.
-    fn refuse(&mut self, id: RecordId, expires: Millis, outcome: Presented) -> Presented {
+    fn refuse(&mut self, id: RecordId, expires: Millis, outcome: PresentOutcome) -> PresentOutcome {
         if self.refused.len() >= self.bounds.records {
-            return Presented::Unsure;
+            return PresentOutcome::RefusedUnrecorded;
         }
         self.refused.insert(id, expires);
         outcome
@@ -308,7 +308,7 @@
 
     /// Evicts expired closed records. Returns the hashes of all claims evicted since the
     /// last call, so that their keys can be deleted from the store.
-    pub fn housekeep(&mut self, now: Millis) -> Vec<[u8; 32]> {
+    pub fn evict_expired(&mut self, now: Millis) -> Vec<[u8; 32]> {
         self.evict_expired_records(now);
         std::mem::take(&mut self.evicted_claims)
     }
@@ -422,10 +422,10 @@
     /// choose another successor.
     pub fn adopt(&mut self, now: Millis, hand_over: HandOver) -> bool {
         if self.stopped {
-            return self.answers_for(hand_over.from);
+            return self.is_responsible_for(hand_over.from);
         }
         for handed in hand_over.issuers {
-            if self.answers_for(handed.issuer) {
+            if self.is_responsible_for(handed.issuer) {
                 continue;
             }
             let clock = IssuerClock {
@@ -466,13 +466,13 @@
     }
 }
 
-fn outcome_of(record: &Record, identity: &Identity) -> Presented {
+fn outcome_of(record: &Record, identity: &Identity) -> PresentOutcome {
     if record.identity != *identity {
-        return Presented::OtherRequest;
+        return PresentOutcome::RequestMismatch;
     }
     match &record.state {
-        State::Open => Presented::Wait,
-        State::Closed(Some(answer)) => Presented::Kept(answer.clone()),
-        State::Closed(None) => Presented::AnswerDropped,
+        State::Open => PresentOutcome::Wait,
+        State::Closed(Some(answer)) => PresentOutcome::Retained(answer.clone()),
+        State::Closed(None) => PresentOutcome::AnswerDropped,
     }
 }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod ticket;
 
 pub use hand_over::{HandOver, HandedIssuer, HandedRecord, HandedRefusal};
-pub use ledger::{Bounds, Identity, Ledger, Presented, RecordId, Slot};
+pub use ledger::{Bounds, Identity, Ledger, PresentOutcome, RecordId, Slot};
 pub use ticket::{Ticket, TicketError};
 
 /// Milliseconds since the owning process started.
--- a/crates/ledger/tests/suite/claim.rs
+++ b/crates/ledger/tests/suite/claim.rs
@@ -5,7 +5,7 @@
 //! store.
 
 use hollowsail_ledger::claim::{
-    id_is_young, Claim, ClaimStep, ClaimValue, Claimed, Progress, StoreAnswer,
+    is_id_claimable, Claim, ClaimOutcome, ClaimStep, ClaimValue, Progress, StoreAnswer,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -85,7 +85,7 @@
     #[test]
     fn at_most_one_claimer_owns_an_id(calls in prop::collection::vec((0usize..4, fault()), 1..60)) {
         let mut store = Store::default();
-        let mut claims: Vec<(Claim, Option<Claimed>)> = (0..4)
+        let mut claims: Vec<(Claim, Option<ClaimOutcome>)> = (0..4)
             .map(|id| (Claim::new(ClaimValue { owner: id, nonce: 100 + id }), None))
             .collect();
         for (index, fault) in calls {
@@ -100,14 +100,14 @@
         }
         let ours: Vec<_> = claims
             .iter()
-            .filter(|(_, ended)| *ended == Some(Claimed::Ours))
+            .filter(|(_, ended)| *ended == Some(ClaimOutcome::Ours))
             .collect();
         prop_assert!(ours.len() <= 1);
         for (claim, _) in ours {
             prop_assert_eq!(store.value.as_ref(), Some(claim.value()));
         }
         for (_, ended) in &claims {
-            if let Some(Claimed::Theirs(owner)) = ended {
+            if let Some(ClaimOutcome::Theirs(owner)) = ended {
                 prop_assert_eq!(store.value.as_ref().map(|value| value.owner), Some(*owner));
             }
         }
@@ -124,17 +124,17 @@
 
 #[test]
 fn id_accepted_for_half_of_claim_retention() {
-    assert!(id_is_young(1000, 1000, 3_600_000));
+    assert!(is_id_claimable(1000, 1000, 3_600_000));
     assert!(
-        id_is_young(21_000, 1000, 3_600_000),
+        is_id_claimable(21_000, 1000, 3_600_000),
         "caller's clock leads by 20 s"
     );
     assert!(
-        !id_is_young(61_000, 1000, 3_600_000),
+        !is_id_claimable(61_000, 1000, 3_600_000),
         "caller's clock leads by 60 s"
     );
     assert!(
-        !id_is_young(0, 1_800_000, 3_600_000),
+        !is_id_claimable(0, 1_800_000, 3_600_000),
         "older than half of the retention"
     );
 }
--- a/crates/ledger/tests/suite/ledger.rs
+++ b/crates/ledger/tests/suite/ledger.rs
@@ -6,7 +6,9 @@
 
 use std::collections::HashMap;
 
-use hollowsail_ledger::{Bounds, HandOver, Identity, Ledger, Presented, RecordId, Slot, Ticket};
+use hollowsail_ledger::{
+    Bounds, HandOver, Identity, Ledger, PresentOutcome, RecordId, Slot, Ticket,
+};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use proptest_state_machine::{prop_state_machine, ReferenceStateMachine, StateMachineTest};
@@ -130,7 +132,7 @@
         let expired = self.now >= state.issued_at + TICKET_MS;
         let presented = self.ledgers[ledger].present_ticket(clock, &state.ticket, &identity);
         match presented {
-            Presented::Run => {
+            PresentOutcome::Run => {
                 assert_eq!(state.runs, 0, "ran twice");
                 assert!(!state.refused, "ran after a permanent refusal");
                 assert!(!expired, "ran after its expiry");
@@ -140,7 +142,7 @@
                 state.open_at = Some(ledger);
                 state.first_identity = Some(identity);
             }
-            Presented::Wait => {
+            PresentOutcome::Wait => {
                 assert_eq!(
                     state.open_at,
                     Some(ledger),
@@ -148,7 +150,7 @@
                 );
                 assert_eq!(state.first_identity.as_ref(), Some(&identity));
             }
-            Presented::Kept(answer) => {
+            PresentOutcome::Retained(answer) => {
                 assert_eq!(state.answer.as_ref(), Some(&answer));
                 assert_eq!(
                     state.first_identity.as_ref(),
@@ -156,21 +158,23 @@
                     "answer of another request"
                 );
             }
-            Presented::AnswerDropped => {
+            PresentOutcome::AnswerDropped => {
                 assert!(state.answer.is_some());
                 assert_eq!(state.first_identity.as_ref(), Some(&identity));
             }
-            Presented::OtherRequest => {
+            PresentOutcome::RequestMismatch => {
                 assert!(
                     state.first_identity.as_ref() != Some(&identity)
                         || identity.org != state.ticket.org
                 )
             }
-            Presented::Expired => assert!(expired, "expired too early"),
-            Presented::NotIssuer | Presented::Unsure | Presented::HandedOver => {
+            PresentOutcome::Expired => assert!(expired, "expired too early"),
+            PresentOutcome::NotIssuer
+            | PresentOutcome::RefusedUnrecorded
+            | PresentOutcome::HandedOver => {
                 assert_ne!(state.open_at, Some(ledger), "an open record was lost");
             }
-            Presented::Full | Presented::Stopped | Presented::Refused => {
+            PresentOutcome::Full | PresentOutcome::Stopped | PresentOutcome::Refused => {
                 assert_eq!(state.runs, 0, "permanently refused after it ran");
                 state.refused = true;
             }
@@ -282,7 +286,7 @@
             Step::Wait { ms } => world.now += ms,
             Step::EvictExpired { ledger } => {
                 let clock = world.clock(ledger);
-                world.ledgers[ledger].housekeep(clock);
+                world.ledgers[ledger].evict_expired(clock);
             }
             Step::Stop { ledger } => {
                 world.ledgers[ledger].stop();
@@ -357,7 +361,7 @@
     for ticket in &tickets {
         assert_eq!(
             ledger.present_ticket(1, ticket, &identity()),
-            Presented::Run
+            PresentOutcome::Run
         );
         let id = RecordId {
             issuer: 1,
@@ -367,8 +371,11 @@
     }
     let present_again =
         |ledger: &mut Ledger, index: usize| ledger.present_ticket(2, &tickets[index], &identity());
-    assert_eq!(present_again(&mut ledger, 0), Presented::AnswerDropped);
-    assert_eq!(present_again(&mut ledger, 4), Presented::Kept(vec![0; 15]));
+    assert_eq!(present_again(&mut ledger, 0), PresentOutcome::AnswerDropped);
+    assert_eq!(
+        present_again(&mut ledger, 4),
+        PresentOutcome::Retained(vec![0; 15])
+    );
 }
 
 #[test]
@@ -380,15 +387,15 @@
     };
     assert_eq!(
         ledger.present_claim(0, id, &identity(), false),
-        Presented::Expired
+        PresentOutcome::Expired
     );
     assert_eq!(
         ledger.present_claim(0, id, &identity(), true),
-        Presented::Run
+        PresentOutcome::Run
     );
     assert_eq!(
         ledger.present_claim(1, id, &identity(), false),
-        Presented::Wait
+        PresentOutcome::Wait
     );
     assert_eq!(ledger.find_claim(&[7; 32]), Some(id));
 }
@@ -408,7 +415,7 @@
     let mut successor = Ledger::new(2, BOUNDS);
     assert!(successor.adopt(100, hand_over_state));
     let presented = successor.present_ticket(101, &ticket, &identity());
-    assert_eq!(presented, Presented::AnswerDropped);
+    assert_eq!(presented, PresentOutcome::AnswerDropped);
 }
 
 #[test]
@@ -417,9 +424,9 @@
     let ticket = ledger.issue(0, "o");
     ledger.present_ticket(0, &ticket, &identity());
     let after_expiry = 100 * TICKET_MS;
-    ledger.housekeep(after_expiry);
+    ledger.evict_expired(after_expiry);
     let presented = ledger.present_ticket(after_expiry, &ticket, &identity());
-    assert_eq!(presented, Presented::Wait);
+    assert_eq!(presented, PresentOutcome::Wait);
     assert_eq!(ledger.open_records(), 1);
 }
 
@@ -438,13 +445,13 @@
     }
     assert_eq!(
         ledger.present_ticket(900, &newest, &identity()),
-        Presented::Full
+        PresentOutcome::Full
     );
     let after_eviction = 1100;
-    ledger.housekeep(after_eviction);
+    ledger.evict_expired(after_eviction);
     assert!(ledger.is_empty());
     let presented = ledger.present_ticket(after_eviction, &newest, &identity());
-    assert_eq!(presented, Presented::Refused);
+    assert_eq!(presented, PresentOutcome::Refused);
 }
 
 #[test]
@@ -455,8 +462,8 @@
         slot: Slot::Claim([7; 32]),
     };
     ledger.present_claim(0, id, &identity(), true);
-    assert!(ledger.housekeep(BOUNDS.claim_ms + 1).is_empty());
+    assert!(ledger.evict_expired(BOUNDS.claim_ms + 1).is_empty());
     ledger.close(id, vec![1]);
-    assert_eq!(ledger.housekeep(BOUNDS.claim_ms + 1), [[7; 32]]);
-    assert!(ledger.housekeep(BOUNDS.claim_ms + 2).is_empty());
+    assert_eq!(ledger.evict_expired(BOUNDS.claim_ms + 1), [[7; 32]]);
+    assert!(ledger.evict_expired(BOUNDS.claim_ms + 2).is_empty());
 }
--- a/crates/local/src/fleet.rs
+++ b/crates/local/src/fleet.rs
@@ -118,7 +118,7 @@
         let ready = |entry: &RunningEntry| {
             let view = entry.entry.view();
             let present = view.members.iter().filter(|m| m.is_present()).count();
-            present + 1 >= count && view.revision() > 0 && entry.entry.knows_peers()
+            present + 1 >= count && view.revision() > 0 && entry.entry.has_joined_fleet()
         };
         while !self.running().all(ready) {
             tokio::time::sleep(MEMBERS_POLL_INTERVAL).await;
--- a/crates/local/tests/suite/configuration.rs
+++ b/crates/local/tests/suite/configuration.rs
@@ -192,7 +192,7 @@
     fleet.take_entry(1).expect("the entry runs").kill().await;
     let entry = fleet.entry(0).entry.clone();
     fixture::wait_until("the entry is isolated", || {
-        entry.view().standing == hollowsail_fleet::Standing::Isolated
+        entry.view().connectivity == hollowsail_fleet::Connectivity::Isolated
     })
     .await;
     let answer = fixture::call(&fleet, 0, &fixture::request("read", BOTH_KEY, "cut")).await;
@@ -200,7 +200,7 @@
     assert_eq!(answer.body.outcome, Outcome::NotRun);
     fleet.store.set_faults(StoreFaults::default());
     fixture::wait_until("the entry is connected again", || {
-        entry.view().standing == hollowsail_fleet::Standing::InTouch
+        entry.view().connectivity == hollowsail_fleet::Connectivity::InTouch
     })
     .await;
     fleet.shut_down().await;
@@ -239,7 +239,10 @@
     let entry = fleet.entry(0).entry.clone();
     for _ in 0..70 {
         actix_rt::time::sleep(std::time::Duration::from_millis(100)).await;
-        assert_eq!(entry.view().standing, hollowsail_fleet::Standing::InTouch);
+        assert_eq!(
+            entry.view().connectivity,
+            hollowsail_fleet::Connectivity::InTouch
+        );
     }
     fleet.shut_down().await;
 }
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -50,7 +50,7 @@
     /// The connection broke before the end of the answer.
     Broken,
     /// No answer within this time, in milliseconds.
-    Silent(f64),
+    TimedOut(f64),
 }
 
 /// Counts of one kind of request at one version.
@@ -72,7 +72,7 @@
                 self.good += 1;
                 self.add_latency(ms);
             }
-            Outcome::Silent(ms) => self.add_latency(ms),
+            Outcome::TimedOut(ms) => self.add_latency(ms),
             Outcome::Failed => self.failed += 1,
             Outcome::Broken => self.broken += 1,
         }
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -51,7 +51,7 @@
     /// Enter this phase.
     Enter(Phase),
     /// Roll the version back.
-    TakeBack(Fault),
+    RollBack(Fault),
 }
 
 /// The state of a roll-out at its leader.
@@ -85,7 +85,7 @@
         }
         if let Some(fault) = progress.evidence.fault() {
             self.enter(Phase::RolledBack, now);
-            return Some(Step::TakeBack(fault));
+            return Some(Step::RollBack(fault));
         }
         let next = match self.phase {
             Phase::Waiting => progress.has_new_targets.then_some(Phase::Canary),
@@ -110,7 +110,7 @@
     }
 
     /// Enters the final phase that is recorded in the store.
-    pub fn settled(&mut self, verdict: Phase, now: Millis) {
+    pub fn set_verdict(&mut self, verdict: Phase, now: Millis) {
         self.enter(verdict, now);
     }
 
--- a/crates/rollout/tests/suite/decisions.rs
+++ b/crates/rollout/tests/suite/decisions.rs
@@ -118,7 +118,7 @@
 #[test]
 fn verdict_is_final() {
     let mut rollout = Rollout::new(PLAN, Phase::Full, PLAN.began);
-    rollout.settled(Phase::Completed, PLAN.began);
+    rollout.set_verdict(Phase::Completed, PLAN.began);
     let mut evidence = good_evidence(10);
     for index in 0..50 {
         evidence.observe("a", Arm::New, &format!("new-{index}"), Outcome::Failed);
--- a/crates/rollout/tests/suite/evidence.rs
+++ b/crates/rollout/tests/suite/evidence.rs
@@ -86,7 +86,7 @@
             "a",
             Arm::New,
             &format!("new-{index}"),
-            Outcome::Silent(2_000.0),
+            Outcome::TimedOut(2_000.0),
         );
     }
     assert!(matches!(evidence.fault(), Some(Fault::Slow { .. })));
--- a/crates/rollout/tests/suite/simulated.rs
+++ b/crates/rollout/tests/suite/simulated.rs
@@ -108,7 +108,7 @@
             };
             let step = rollout.step(now, &progress);
             if step == Some(hollowsail_rollout::Step::Enter(Phase::Completed)) {
-                rollout.settled(Phase::Completed, now);
+                rollout.set_verdict(Phase::Completed, now);
             }
             if rollout.phase().is_final() && run.verdict.is_none() {
                 run.verdict = Some((now, rollout.phase()));
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -4,7 +4,7 @@
 //! behind requests ahead of it and the time of its stages must fit into its deadline.
 //!
 //! An organisation that holds more than its weighted share of the requests in flight
-//! waits behind the others ([`Holding::is_over`]); capacity that they leave unused is
+//! waits behind the others ([`Holding::is_over_share`]); capacity that they leave unused is
 //! available to it.
 
 use crate::deadline::StageExpectation;
@@ -46,7 +46,7 @@
 
 impl Holding {
     /// True when one more request would exceed the share and its slack.
-    pub fn is_over(&self) -> bool {
+    pub fn is_over_share(&self) -> bool {
         let fair = self.share * f64::from(self.all + 1);
         let slack = 1.0 + SLACK * (1.0 - self.share);
         f64::from(self.own + 1) > fair * slack + SLACK_REQUESTS
@@ -84,7 +84,7 @@
 ///
 /// Each stage is given with the positions of its predecessors, which must precede it, and
 /// its demand: `None` if it takes no time.
-pub fn longest_way<'a>(
+pub fn critical_path<'a>(
     stages: impl Iterator<Item = (&'a [usize], Option<StageDemand>)>,
 ) -> Vec<StageDemand> {
     let mut paths: Vec<Vec<StageDemand>> = Vec::new();
--- a/crates/routing/src/choose.rs
+++ b/crates/routing/src/choose.rs
@@ -16,7 +16,7 @@
     /// Requests it holds, by the entry's own count and the target's reports.
     pub load: f64,
     /// Last reported load of any age; 0 without reports.
-    pub reported: f64,
+    pub reported_load: f64,
     /// Ratio of recent to typical latency; 1 is typical.
     pub slowness: f64,
     pub ejected: bool,
--- a/crates/routing/src/crash_ledger.rs
+++ b/crates/routing/src/crash_ledger.rs
@@ -9,7 +9,7 @@
 //! - A complete answer clears a request, also at the entries that were notified of it.
 //! - A crash report says whether the request was a suspect already, so that the count
 //!   survives the entry that kept it.
-//! - From [`CRASHES_TO_SET_APART`] on, a request runs beside as few others as possible and
+//! - From [`CRASHES_TO_ISOLATE`] on, a request runs beside as few others as possible and
 //!   beside no other suspect (see [`crate::scheduler`]).
 
 use std::collections::HashMap;
@@ -18,7 +18,7 @@
 
 /// Crashes after which a request is a suspect: it is isolated and all entries are notified.
 /// Two crashes under the same request are rare unless it caused them.
-pub const CRASHES_TO_SET_APART: u32 = 2;
+pub const CRASHES_TO_ISOLATE: u32 = 2;
 /// Crashes after which a request is refused. Callers retry once, so an innocent request sees
 /// two crashes at most.
 pub const CRASHES_TO_REFUSE: u32 = 3;
@@ -26,11 +26,11 @@
 /// innocent one is served, a fatal one crashes a target and is refused for twice as long.
 pub const FIRST_REFUSAL_MS: Millis = 60 * 1_000;
 /// Longest refusal, and the longest lease of the store that keeps it.
-pub const MOST_REFUSED_MS: Millis = 10 * 60 * 1_000;
+pub const MAX_REFUSAL_MS: Millis = 10 * 60 * 1_000;
 /// Tolerance when ordering a run after the previous crash: their times come from different
 /// entries and may be delayed on the way.
 const ORDER_TOLERANCE_MS: Millis = 100;
-/// Time after which a crash is forgotten: several times [`MOST_REFUSED_MS`], so that an
+/// Time after which a crash is forgotten: several times [`MAX_REFUSAL_MS`], so that an
 /// expired refusal is remembered.
 const RETENTION_MS: Millis = 60 * 60 * 1_000;
 /// Capacity of the ledger; the oldest quarter is evicted when it is full.
@@ -38,7 +38,7 @@
 
 /// Verdict on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum CrashVerdict {
     /// Too few crashes to suspect it.
     Unsuspected,
     /// Targets crashed under it: it runs isolated from others.
@@ -72,7 +72,7 @@
 /// Duration of a refusal after `crashes`, in milliseconds.
 fn refusal_ms(crashes: u32) -> Millis {
     let doublings = crashes.saturating_sub(CRASHES_TO_REFUSE).min(16);
-    (FIRST_REFUSAL_MS << doublings).min(MOST_REFUSED_MS)
+    (FIRST_REFUSAL_MS << doublings).min(MAX_REFUSAL_MS)
 }
 
 /// Crashes of targets by request.
@@ -94,7 +94,12 @@
 
     /// Records a crash of a target under a request. Returns the new count, or `None` if the
     /// crash doesn't count.
-    pub fn crashed(&mut self, now: Millis, request: RequestDigest, run: CrashedRun) -> Option<u32> {
+    pub fn record_crash(
+        &mut self,
+        now: Millis,
+        request: RequestDigest,
+        run: CrashedRun,
+    ) -> Option<u32> {
         self.evict(now);
         let entry = self.entries.entry(request).or_insert(Entry {
             crashes: 0,
@@ -106,7 +111,7 @@
         }
         if run.was_suspect {
             // The entry that held the count may be gone.
-            entry.crashes = entry.crashes.max(CRASHES_TO_SET_APART);
+            entry.crashes = entry.crashes.max(CRASHES_TO_ISOLATE);
         }
         entry.crashes += 1;
         entry.last_crash = run.ended;
@@ -118,11 +123,11 @@
 
     /// Applies a verdict of another entry or the store. Returns true when it changes the
     /// record.
-    pub fn told(&mut self, now: Millis, request: RequestDigest, verdict: Standing) -> bool {
+    pub fn learn(&mut self, now: Millis, request: RequestDigest, verdict: CrashVerdict) -> bool {
         let (crashes, refused_until) = match verdict {
-            Standing::Unsuspected => return self.entries.remove(&request).is_some(),
-            Standing::Suspect => (CRASHES_TO_SET_APART, 0),
-            Standing::Refused { until } => (CRASHES_TO_REFUSE, until),
+            CrashVerdict::Unsuspected => return self.entries.remove(&request).is_some(),
+            CrashVerdict::Suspect => (CRASHES_TO_ISOLATE, 0),
+            CrashVerdict::Refused { until } => (CRASHES_TO_REFUSE, until),
         };
         self.evict(now);
         let entry = self.entries.get(&request);
@@ -141,7 +146,7 @@
     }
 
     /// Lifts a refusal that was revoked or has expired. Returns true when it was in effect.
-    pub fn lifted(&mut self, now: Millis, request: RequestDigest) -> bool {
+    pub fn lift_refusal(&mut self, now: Millis, request: RequestDigest) -> bool {
         let Some(entry) = self.entries.get_mut(&request) else {
             return false;
         };
@@ -151,18 +156,18 @@
     }
 
     /// Clears a request that was answered completely. Returns true when it was a suspect.
-    pub fn served(&mut self, request: RequestDigest) -> bool {
+    pub fn record_success(&mut self, request: RequestDigest) -> bool {
         let entry = self.entries.remove(&request);
-        entry.is_some_and(|entry| entry.crashes >= CRASHES_TO_SET_APART)
+        entry.is_some_and(|entry| entry.crashes >= CRASHES_TO_ISOLATE)
     }
 
-    pub fn standing(&self, now: Millis, request: RequestDigest) -> Standing {
+    pub fn verdict(&self, now: Millis, request: RequestDigest) -> CrashVerdict {
         match self.entries.get(&request) {
-            Some(entry) if entry.refused_until > now => Standing::Refused {
+            Some(entry) if entry.refused_until > now => CrashVerdict::Refused {
                 until: entry.refused_until,
             },
-            Some(entry) if entry.crashes >= CRASHES_TO_SET_APART => Standing::Suspect,
-            _ => Standing::Unsuspected,
+            Some(entry) if entry.crashes >= CRASHES_TO_ISOLATE => CrashVerdict::Suspect,
+            _ => CrashVerdict::Unsuspected,
         }
     }
 
--- a/crates/routing/src/engine.rs
+++ b/crates/routing/src/engine.rs
@@ -25,26 +25,26 @@
     /// Rendezvous score for the last shared part.
     pub affinity: u64,
     /// The shared prefix is known to be cached there.
-    pub keeps_part: bool,
+    pub has_cached_prefix: bool,
     /// Share of its slots in use; 1 is full.
     pub load: f64,
     /// Prompt tokens of this entry that it has yet to prefill.
-    pub unread_tokens: u64,
+    pub pending_prefill_tokens: u64,
     /// Ratio of recent to typical latency; 1 is typical.
     pub slowness: f64,
     pub ejected: bool,
     /// Bytes of the request's input results stored in other halls.
-    pub outside_bytes: u64,
+    pub remote_bytes: u64,
 }
 
 /// A chosen engine and its cost.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EngineChoice {
     /// Position among the candidates.
-    pub at: usize,
+    pub index: usize,
     pub cost_tokens: f64,
     /// The shared prefix is expected to be cached there.
-    pub is_home: bool,
+    pub expects_prefix: bool,
 }
 
 /// Chooses the engine with the lowest cost. If none is known to cache the shared prefix,
@@ -55,37 +55,37 @@
     let may_serve = |engine: &EngineCandidate| all_ejected || !engine.ejected;
     let usable = || (0..candidates.len()).filter(|&index| may_serve(&candidates[index]));
     let first = usable().max_by_key(|&index| candidates[index].affinity)?;
-    let any_cached = usable().any(|index| candidates[index].keeps_part);
-    let is_home = |index: usize| match any_cached {
-        true => candidates[index].keeps_part,
+    let any_cached = usable().any(|index| candidates[index].has_cached_prefix);
+    let expects_prefix = |index: usize| match any_cached {
+        true => candidates[index].has_cached_prefix,
         false => index == first,
     };
     let best = usable().min_by(|&a, &b| {
-        let key = |index: usize| cost(&candidates[index], is_home(index), shared_tokens);
+        let key = |index: usize| cost(&candidates[index], expects_prefix(index), shared_tokens);
         let order = |index: usize| Reverse(candidates[index].affinity);
         key(a).total_cmp(&key(b)).then(order(a).cmp(&order(b)))
     })?;
     Some(EngineChoice {
-        at: best,
-        cost_tokens: cost(&candidates[best], is_home(best), shared_tokens),
-        is_home: is_home(best),
+        index: best,
+        cost_tokens: cost(&candidates[best], expects_prefix(best), shared_tokens),
+        expects_prefix: expects_prefix(best),
     })
 }
 
-fn cost(engine: &EngineCandidate, is_home: bool, shared_tokens: u64) -> f64 {
-    let recomputed = if is_home {
+fn cost(engine: &EngineCandidate, expects_prefix: bool, shared_tokens: u64) -> f64 {
+    let recomputed = if expects_prefix {
         0.0
     } else {
         shared_tokens as f64 * RECOMPUTE_WEIGHT
     };
-    let moved = engine.outside_bytes as f64 / BYTES_PER_TOKEN;
-    let pending = engine.unread_tokens as f64 * PENDING_WEIGHT;
+    let moved = engine.remote_bytes as f64 / BYTES_PER_TOKEN;
+    let pending = engine.pending_prefill_tokens as f64 * PENDING_WEIGHT;
     let batch = engine.load * FULL_BATCH_TOKENS;
     recomputed + moved + (pending + batch) * engine.slowness
 }
 
 /// True when recomputing the shared prefix costs more than moving the results, so that the
 /// engine should be chosen before the hall that produces the results.
-pub fn engine_goes_first(shared_tokens: u64, result_bytes: u64) -> bool {
+pub fn prefix_outweighs_results(shared_tokens: u64, result_bytes: u64) -> bool {
     shared_tokens as f64 > result_bytes as f64 / BYTES_PER_TOKEN
 }
--- a/crates/routing/src/event_loop_lag.rs
+++ b/crates/routing/src/event_loop_lag.rs
@@ -20,17 +20,17 @@
 
 /// Average timer lag of a process, and whether it counts as lagging.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Pace {
+pub struct EventLoopLag {
     lag_ms: f64,
     is_lagging: bool,
     /// When its timers became on time.
     on_time_since: Option<Millis>,
 }
 
-impl Pace {
+impl EventLoopLag {
     /// Records a timer that fired `late` milliseconds late. Returns true when the process
     /// starts or stops lagging.
-    pub fn woke(&mut self, now: Millis, late: Millis) -> bool {
+    pub fn record(&mut self, now: Millis, late: Millis) -> bool {
         let late = late.min(MAX_SAMPLE_MS) as f64;
         self.lag_ms += SAMPLE_WEIGHT * (late - self.lag_ms);
         if self.lag_ms >= ON_TIME_MS {
@@ -49,12 +49,12 @@
     }
 
     /// True while the process is lagging.
-    pub fn is_slow(&self) -> bool {
+    pub fn is_lagging(&self) -> bool {
         self.is_lagging
     }
 
     /// Average timer lag in milliseconds.
-    pub fn late_ms(&self) -> f64 {
+    pub fn lag_ms(&self) -> f64 {
         self.lag_ms
     }
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -7,7 +7,6 @@
 pub mod admission;
 pub mod budget;
 pub mod choose;
-pub mod cold;
 pub mod crash_ledger;
 pub mod deadline;
 pub mod engine;
@@ -21,29 +20,30 @@
 pub mod queue;
 pub mod request_digest;
 pub mod scheduler;
+pub mod warm_up;
 
-pub use admission::{admit, longest_way, Holding, ServiceLoad, StageDemand, Verdict};
+pub use admission::{admit, critical_path, Holding, ServiceLoad, StageDemand, Verdict};
 pub use budget::RetryBudget;
 pub use choose::{choose, Candidate, Choice, Reason};
-pub use cold::{Cold, ColdGate};
-pub use crash_ledger::{CrashLedger, CrashedRun, Standing};
+pub use crash_ledger::{CrashLedger, CrashVerdict, CrashedRun};
 pub use deadline::{plan, StageExpectation, StagePlan, TooLate};
-pub use engine::{choose_engine, engine_goes_first, EngineCandidate, EngineChoice};
-pub use event_loop_lag::Pace;
+pub use engine::{choose_engine, prefix_outweighs_results, EngineCandidate, EngineChoice};
+pub use event_loop_lag::EventLoopLag;
 pub use health::{HealthRules, Observation, TargetHealth};
 pub use latency::LatencyWindow;
 pub use limit::{LimitGate, LimitShare};
-pub use policy::{Choosing, Switches};
-pub use prefill_times::ReadingTimes;
+pub use policy::{ChoicePolicy, Switches};
+pub use prefill_times::PrefillTimes;
 pub use progress::{
-    attempt_status, may_try_again, outcome_of, stage_status, Outcome, Progress, StageStatus,
+    attempt_status, may_retry, outcome_of, stage_status, Outcome, Progress, StageStatus,
 };
 pub use queue::{Rank, WaitQueue};
 pub use request_digest::RequestDigest;
 pub use scheduler::{
-    Demand, DemandKey, DemandQueue, DeskEngine, EngineDesk, PlacementEnd, PlacementKey, Turn,
-    Versions,
+    Demand, DemandKey, DemandQueue, EngineScheduler, PlacementEnd, PlacementKey, QueueEstimate,
+    SchedulableEngine, Versions,
 };
+pub use warm_up::{WarmUp, WarmUpGate};
 
 /// Milliseconds since the owning process started.
 pub type Millis = u64;
--- a/crates/routing/src/limit.rs
+++ b/crates/routing/src/limit.rs
@@ -6,7 +6,7 @@
 //! change, so a recent owner uses half the rate and a settled one nearly all of it:
 //! together they stay below 1.5 times the limit, which operators allow.
 
-use crate::cold;
+use crate::warm_up;
 use crate::Millis;
 
 /// Share of an owner since at least [`SETTLED_AFTER_MS`]. The rest allows for requests that
@@ -46,12 +46,12 @@
             true => LimitShare {
                 rate_share: SETTLED_SHARE,
                 burst: SETTLED_BURST,
-                warm_up_share: cold::SETTLED_SCHEDULER_SHARE,
+                warm_up_share: warm_up::SETTLED_SCHEDULER_SHARE,
             },
             false => LimitShare {
                 rate_share: RECENT_SHARE,
                 burst: RECENT_BURST,
-                warm_up_share: cold::SCHEDULER_SHARE,
+                warm_up_share: warm_up::SCHEDULER_SHARE,
             },
         }
     }
@@ -66,7 +66,7 @@
     }
 
     /// Share of the rate of a target that is warming up.
-    pub fn cold_share(&self) -> f64 {
+    pub fn warm_up_share(&self) -> f64 {
         self.warm_up_share
     }
 
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -7,7 +7,7 @@
 
 /// Policy that chooses a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Choosing {
+pub enum ChoicePolicy {
     /// By load, slowness and affinity; see [`choose`].
     Adaptive,
     Random,
@@ -19,7 +19,7 @@
 /// Mechanisms that can be switched off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Switches {
-    pub choosing: Choosing,
+    pub choosing: ChoicePolicy,
     /// Reject requests that can't meet their deadline.
     pub early_refusal: bool,
     /// Prefer the engine that is expected to cache a session's prefix.
@@ -39,7 +39,7 @@
 impl Default for Switches {
     fn default() -> Self {
         Switches {
-            choosing: Choosing::Adaptive,
+            choosing: ChoicePolicy::Adaptive,
             early_refusal: true,
             affinity: true,
             ejection: true,
@@ -53,7 +53,7 @@
 
 impl Switches {
     /// A baseline that only chooses targets and retries failures.
-    pub fn baseline(choosing: Choosing) -> Self {
+    pub fn baseline(choosing: ChoicePolicy) -> Self {
         Switches {
             choosing,
             early_refusal: false,
@@ -71,11 +71,11 @@
     pub fn choose(&self, candidates: &[Candidate], draw: u64, turn: usize) -> Option<Choice> {
         let count = candidates.len();
         let chosen = match self.choosing {
-            Choosing::Adaptive => return choose(candidates, draw),
+            ChoicePolicy::Adaptive => return choose(candidates, draw),
             _ if count == 0 => return None,
-            Choosing::Random => (draw % count as u64) as usize,
-            Choosing::RoundRobin => turn % count,
-            Choosing::LeastReportedLoad => least_reported(candidates, draw),
+            ChoicePolicy::Random => (draw % count as u64) as usize,
+            ChoicePolicy::RoundRobin => turn % count,
+            ChoicePolicy::LeastReportedLoad => least_reported(candidates, draw),
         };
         Some(Choice {
             target: candidates[chosen].target,
@@ -88,10 +88,10 @@
 fn least_reported(candidates: &[Candidate], draw: u64) -> usize {
     let lowest = candidates
         .iter()
-        .map(|candidate| candidate.reported)
+        .map(|candidate| candidate.reported_load)
         .fold(f64::INFINITY, f64::min);
     let equal: Vec<usize> = (0..candidates.len())
-        .filter(|&index| candidates[index].reported <= lowest)
+        .filter(|&index| candidates[index].reported_load <= lowest)
         .collect();
     equal[(draw % equal.len() as u64) as usize]
 }
--- a/crates/routing/src/prefill_times.rs
+++ b/crates/routing/src/prefill_times.rs
@@ -15,7 +15,7 @@
 
 /// Decayed sums over recent samples of tokens and milliseconds.
 #[derive(Debug, Clone, Default)]
-pub struct ReadingTimes {
+pub struct PrefillTimes {
     samples: f64,
     tokens: f64,
     ms: f64,
@@ -23,7 +23,7 @@
     tokens_by_ms: f64,
 }
 
-impl ReadingTimes {
+impl PrefillTimes {
     /// Records a first event `ms` after the start of a prompt with `own_tokens` uncached tokens.
     pub fn record(&mut self, own_tokens: u64, ms: u64) {
         let (tokens, ms) = (own_tokens as f64, ms as f64);
--- a/crates/routing/src/progress.rs
+++ b/crates/routing/src/progress.rs
@@ -78,7 +78,7 @@
 }
 
 /// True when a retry can't run a non-repeatable stage twice.
-pub fn may_try_again(progress: Progress, repeatable: bool) -> bool {
+pub fn may_retry(progress: Progress, repeatable: bool) -> bool {
     match attempt_status(progress) {
         StageStatus::NotRun => true,
         StageStatus::Unknown => repeatable,
--- a/crates/routing/src/scheduler/demand_queue.rs
+++ b/crates/routing/src/scheduler/demand_queue.rs
@@ -81,7 +81,7 @@
 
     /// Retry time of a rejected demand, in milliseconds: after its estimated wait `wait_ms`
     /// and behind those rejected before, at `per_s` requests per second.
-    pub fn return_in(&mut self, now: Millis, wait_ms: Millis, per_s: f64) -> Millis {
+    pub fn retry_after_ms(&mut self, now: Millis, wait_ms: Millis, per_s: f64) -> Millis {
         let after_last = self.last_retry + (1_000.0 / per_s).ceil() as Millis;
         let latest = now + MAX_RETRY_MS;
         self.last_retry = after_last.max(now + wait_ms).min(latest);
--- a/crates/routing/src/scheduler/mod.rs
+++ b/crates/routing/src/scheduler/mod.rs
@@ -15,10 +15,10 @@
 use serde::{Deserialize, Serialize};
 use slotmap::{new_key_type, SlotMap};
 
-use crate::cold::{Cold, ColdGate, SCHEDULER_SHARE};
 use crate::engine::{choose_engine, EngineCandidate};
 use crate::health::{HealthRules, Observation};
 use crate::limit::{LimitGate, LimitShare};
+use crate::warm_up::{WarmUp, WarmUpGate, SCHEDULER_SHARE};
 use crate::Millis;
 use health::EngineHealth;
 
@@ -49,22 +49,22 @@
 
 /// An engine that may be scheduled, as its record describes it.
 #[derive(Debug, Clone)]
-pub struct DeskEngine<K> {
+pub struct SchedulableEngine<K> {
     pub key: K,
     pub slots: u32,
     pub hall: String,
     /// Software version.
     pub version: String,
     /// Set while the engine is warming up.
-    pub cold: Option<Cold>,
+    pub warm_up: Option<WarmUp>,
     /// Reported limit in requests per second, over all entries.
     pub limit: Option<f64>,
 }
 
 /// Estimated wait of a demand for an engine that is closed only by its limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Turn {
-    pub in_ms: Millis,
+pub struct QueueEstimate {
+    pub wait_ms: Millis,
     /// Combined rate of all such engines, in requests per second.
     pub per_s: f64,
 }
@@ -120,7 +120,7 @@
     /// No valid answer, through a fault of the engine.
     Failed,
     /// Abandoned for another reason.
-    Left,
+    Abandoned,
 }
 
 /// Scheduling state of one engine.
@@ -134,7 +134,7 @@
     suspects: u32,
     pending_prefill_tokens: u64,
     health: EngineHealth,
-    warm_up_gate: ColdGate,
+    warm_up_gate: WarmUpGate,
     limit: Option<f64>,
     limit_gate: LimitGate,
 }
@@ -166,7 +166,7 @@
 
 /// Scheduler of a group of engines.
 #[derive(Debug)]
-pub struct EngineDesk<K> {
+pub struct EngineScheduler<K> {
     engines: HashMap<K, Engine>,
     /// Sorted keys, for deterministic choices.
     order: Vec<K>,
@@ -193,16 +193,16 @@
     match end {
         PlacementEnd::Failed => Some(Observation::Failed),
         // Abandoned while waiting for the first event.
-        PlacementEnd::Left if !placement.has_first_event => {
+        PlacementEnd::Abandoned if !placement.has_first_event => {
             Some(Observation::TimedOut(now - placement.placed_at))
         }
-        PlacementEnd::Left | PlacementEnd::Whole => None,
+        PlacementEnd::Abandoned | PlacementEnd::Whole => None,
     }
 }
 
-impl<K: Clone + Eq + Hash + Ord> Default for EngineDesk<K> {
+impl<K: Clone + Eq + Hash + Ord> Default for EngineScheduler<K> {
     fn default() -> Self {
-        EngineDesk {
+        EngineScheduler {
             engines: HashMap::new(),
             order: Vec::new(),
             placements: SlotMap::with_key(),
@@ -214,9 +214,9 @@
     }
 }
 
-impl<K: Clone + Eq + Hash + Ord> EngineDesk<K> {
+impl<K: Clone + Eq + Hash + Ord> EngineScheduler<K> {
     /// Replaces the set of engines that may get new work.
-    pub fn set_engines(&mut self, now: Millis, engines: &[DeskEngine<K>]) {
+    pub fn set_engines(&mut self, now: Millis, engines: &[SchedulableEngine<K>]) {
         let present: HashSet<&K> = engines.iter().map(|engine| &engine.key).collect();
         self.engines.retain(|key, _| present.contains(key));
         for engine in engines {
@@ -226,7 +226,7 @@
             state.version.clone_from(&engine.version);
             state
                 .warm_up_gate
-                .meet(now, engine.cold, SCHEDULER_SHARE, 0.0);
+                .update(now, engine.warm_up, SCHEDULER_SHARE, 0.0);
             state.limit = engine.limit;
         }
         self.order = self.engines.keys().cloned().collect();
@@ -239,7 +239,12 @@
 
     /// Estimates when a demand behind `ahead` others gets an engine that is closed only by
     /// its limit; `None` without such an engine.
-    pub fn turn(&self, now: Millis, demand: &Demand<K>, ahead: usize) -> Option<Turn> {
+    pub fn queue_estimate(
+        &self,
+        now: Millis,
+        demand: &Demand<K>,
+        ahead: usize,
+    ) -> Option<QueueEstimate> {
         let part = self.limit_share;
         let engines = self.allowed(demand).map(|key| &self.engines[key]);
         let limited =
@@ -251,8 +256,8 @@
         let rates = limited.filter_map(|engine| engine.limit);
         let per_s: f64 = rates.map(|per_s| part.rate(per_s)).sum();
         let behind_ms = (ahead as f64 * 1_000.0 / per_s) as Millis;
-        Some(Turn {
-            in_ms: first - now + behind_ms,
+        Some(QueueEstimate {
+            wait_ms: first - now + behind_ms,
             per_s,
         })
     }
@@ -291,8 +296,8 @@
             .map(|key| self.candidate(now, key, demand, affinity(key)))
             .collect();
         let choice = choose_engine(&candidates, demand.shared_tokens)?;
-        let engine = keys[choice.at].clone();
-        let prefill_tokens = if candidates[choice.at].keeps_part {
+        let engine = keys[choice.index].clone();
+        let prefill_tokens = if candidates[choice.index].has_cached_prefix {
             demand.prompt_tokens.saturating_sub(demand.shared_tokens)
         } else {
             demand.prompt_tokens
@@ -361,12 +366,12 @@
             .and_then(|cached| cached.get(key));
         EngineCandidate {
             affinity,
-            keeps_part: last_used.is_some_and(|used| now < used + PREFIX_TTL_MS),
+            has_cached_prefix: last_used.is_some_and(|used| now < used + PREFIX_TTL_MS),
             load: f64::from(engine.running) / f64::from(engine.slots.max(1)),
-            unread_tokens: engine.pending_prefill_tokens,
+            pending_prefill_tokens: engine.pending_prefill_tokens,
             slowness: engine.health.slowness(&demand.from_hall),
             ejected: engine.health.is_ejected(&demand.from_hall, now),
-            outside_bytes: outside.map(|(_, bytes)| bytes).sum(),
+            remote_bytes: outside.map(|(_, bytes)| bytes).sum(),
         }
     }
 
@@ -384,7 +389,9 @@
         state.running += 1;
         state.suspects += u32::from(demand.is_suspect);
         state.pending_prefill_tokens += prefill_tokens;
-        state.warm_up_gate.sent(now, self.limit_share.cold_share());
+        state
+            .warm_up_gate
+            .sent(now, self.limit_share.warm_up_share());
         state.limit_gate.sent(now, state.limit, self.limit_share);
         let tokens_ahead = state.pending_prefill_tokens;
         // A request without a prompt leaves no prefix in the cache.
@@ -406,7 +413,7 @@
     }
 
     /// Records the first event of a placement: its prefill is complete.
-    pub fn prompt_read(&mut self, key: PlacementKey, now: Millis) {
+    pub fn prefill_done(&mut self, key: PlacementKey, now: Millis) {
         let Some(placement) = self.placements.get_mut(key) else {
             return;
         };
--- a/crates/routing/src/cold.rs
+++ b/crates/routing/src/warm_up.rs
@@ -15,20 +15,20 @@
 /// Share of the rate granted by a settled owner of a scheduler.
 pub const SETTLED_SCHEDULER_SHARE: f64 = 0.75;
 /// Share of the rate that all entries together send while their scheduler doesn't answer.
-pub const PAST_DESK_SHARE: f64 = 0.1;
+pub const BYPASS_SHARE: f64 = 0.1;
 /// Share of the rate that all entries together send to targets without a scheduler.
-pub const WITHOUT_DESK_SHARE: f64 = 0.8;
+pub const NO_SCHEDULER_SHARE: f64 = 0.8;
 
 /// A target's warm-up phase.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Cold {
+pub struct WarmUp {
     /// End of the warm-up.
     pub until: Millis,
     /// Accepted rate until then, in requests per second over all entries.
     pub per_s: f64,
 }
 
-impl Cold {
+impl WarmUp {
     /// Interval between two requests of a sender with a share of the rate.
     fn spacing_ms(&self, share: f64) -> f64 {
         (1_000.0 / (self.per_s * share).max(f64::MIN_POSITIVE)).ceil()
@@ -37,16 +37,16 @@
 
 /// Spaces the requests of one sender to a target that is warming up.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct ColdGate {
-    warm_up: Option<Cold>,
+pub struct WarmUpGate {
+    warm_up: Option<WarmUp>,
     opens_at: Millis,
 }
 
-impl ColdGate {
+impl WarmUpGate {
     /// Sets the current warm-up; `None` if there is none. At the start of one, the sender
     /// first waits for the fraction `phase` (0 to 1) of its interval, so that many senders
     /// with small shares don't start at once.
-    pub fn meet(&mut self, now: Millis, warm_up: Option<Cold>, share: f64, phase: f64) {
+    pub fn update(&mut self, now: Millis, warm_up: Option<WarmUp>, share: f64, phase: f64) {
         if self.warm_up == warm_up {
             return;
         }
--- a/crates/routing/tests/suite/admission.rs
+++ b/crates/routing/tests/suite/admission.rs
@@ -83,7 +83,7 @@
                 all: held[0] + held[1],
                 share: 0.5,
             };
-            let rank = rank(holding.is_over(), step + 100, step * 2 + org as u64);
+            let rank = rank(holding.is_over_share(), step + 100, step * 2 + org as u64);
             let ahead = (running.len() + queue.ahead_of(&rank)) as f64;
             if admit(150, &[stage(ahead, 50, 50)], 0.0) == Verdict::Admit {
                 queue.push(rank, org);
--- a/crates/routing/tests/suite/choose.rs
+++ b/crates/routing/tests/suite/choose.rs
@@ -11,7 +11,7 @@
     Candidate {
         target: TargetKey(key),
         load: 0.0,
-        reported: 0.0,
+        reported_load: 0.0,
         slowness: 1.0,
         ejected: false,
         affinity: None,
--- a/crates/routing/tests/suite/crash_ledger.rs
+++ b/crates/routing/tests/suite/crash_ledger.rs
@@ -1,9 +1,9 @@
 //! The crash ledger tells requests that crash targets from those that ran beside them.
 
-use hollowsail_routing::crash_ledger::{FIRST_REFUSAL_MS, MOST_REFUSED_MS};
+use hollowsail_routing::crash_ledger::{FIRST_REFUSAL_MS, MAX_REFUSAL_MS};
 use hollowsail_routing::{
-    CrashLedger, CrashedRun, Demand, DeskEngine, EngineDesk, Millis, PlacementEnd, PlacementKey,
-    RequestDigest, Standing, Versions,
+    CrashLedger, CrashVerdict, CrashedRun, Demand, EngineScheduler, Millis, PlacementEnd,
+    PlacementKey, RequestDigest, SchedulableEngine, Versions,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -21,7 +21,7 @@
     request: RequestDigest,
     sent: Millis,
 ) -> Option<u32> {
-    ledger.crashed(
+    ledger.record_crash(
         now,
         request,
         CrashedRun {
@@ -36,16 +36,16 @@
 fn second_crash_suspects_and_third_refuses() {
     let mut ledger = CrashLedger::default();
     assert_eq!(record_crash(&mut ledger, 1_000, digest(1), 500), Some(1));
-    assert_eq!(ledger.standing(1_000, digest(1)), Standing::Unsuspected);
+    assert_eq!(ledger.verdict(1_000, digest(1)), CrashVerdict::Unsuspected);
     assert_eq!(record_crash(&mut ledger, 2_000, digest(1), 1_500), Some(2));
-    assert_eq!(ledger.standing(2_000, digest(1)), Standing::Suspect);
+    assert_eq!(ledger.verdict(2_000, digest(1)), CrashVerdict::Suspect);
     assert_eq!(record_crash(&mut ledger, 3_000, digest(1), 2_500), Some(3));
     let until = 3_000 + FIRST_REFUSAL_MS;
     assert_eq!(
-        ledger.standing(3_000, digest(1)),
-        Standing::Refused { until }
+        ledger.verdict(3_000, digest(1)),
+        CrashVerdict::Refused { until }
     );
-    assert_eq!(ledger.standing(3_000, digest(2)), Standing::Unsuspected);
+    assert_eq!(ledger.verdict(3_000, digest(2)), CrashVerdict::Unsuspected);
 }
 
 #[test]
@@ -75,8 +75,8 @@
         ended: 1_100,
         was_suspect: false,
     };
-    assert_eq!(ledger.crashed(1_050, digest(1), first), Some(1));
-    assert_eq!(ledger.crashed(1_150, digest(1), second), Some(2));
+    assert_eq!(ledger.record_crash(1_050, digest(1), first), Some(1));
+    assert_eq!(ledger.record_crash(1_150, digest(1), second), Some(2));
 }
 
 #[test]
@@ -84,12 +84,15 @@
     let mut ledger = CrashLedger::default();
     record_crash(&mut ledger, 1_000, digest(1), 0);
     assert!(
-        !ledger.served(digest(1)),
+        !ledger.record_success(digest(1)),
         "no suspect yet, so no entry to notify"
     );
     record_crash(&mut ledger, 2_000, digest(1), 1_500);
     record_crash(&mut ledger, 3_000, digest(1), 2_500);
-    assert!(ledger.served(digest(1)), "the entries were notified");
+    assert!(
+        ledger.record_success(digest(1)),
+        "the entries were notified"
+    );
     assert_eq!(record_crash(&mut ledger, 4_000, digest(1), 3_500), Some(1));
 }
 
@@ -102,31 +105,31 @@
     for minutes in [1, 2, 4, 8, 10, 10] {
         record_crash(&mut ledger, now, digest(1), now - 1);
         let until = now + minutes * FIRST_REFUSAL_MS;
-        let verdict = ledger.standing(now, digest(1));
-        assert_eq!(verdict, Standing::Refused { until });
-        assert_eq!(ledger.standing(until, digest(1)), Standing::Suspect);
+        let verdict = ledger.verdict(now, digest(1));
+        assert_eq!(verdict, CrashVerdict::Refused { until });
+        assert_eq!(ledger.verdict(until, digest(1)), CrashVerdict::Suspect);
         now = until + 500;
     }
-    assert_eq!(MOST_REFUSED_MS, 10 * FIRST_REFUSAL_MS);
+    assert_eq!(MAX_REFUSAL_MS, 10 * FIRST_REFUSAL_MS);
 }
 
 #[test]
 fn lifted_refusal_leaves_a_suspect() {
     let mut ledger = CrashLedger::default();
-    ledger.told(0, digest(1), Standing::Refused { until: 60_000 });
-    assert!(ledger.lifted(10, digest(1)));
-    assert_eq!(ledger.standing(10, digest(1)), Standing::Suspect);
-    assert!(!ledger.lifted(20, digest(1)), "it was lifted already");
+    ledger.learn(0, digest(1), CrashVerdict::Refused { until: 60_000 });
+    assert!(ledger.lift_refusal(10, digest(1)));
+    assert_eq!(ledger.verdict(10, digest(1)), CrashVerdict::Suspect);
+    assert!(!ledger.lift_refusal(20, digest(1)), "it was lifted already");
 }
 
 #[test]
 fn repeated_verdicts_change_nothing() {
     let mut ledger = CrashLedger::default();
-    assert!(ledger.told(0, digest(1), Standing::Refused { until: 60_000 }));
-    assert!(!ledger.told(5, digest(1), Standing::Refused { until: 60_005 }));
-    assert!(!ledger.told(5, digest(1), Standing::Suspect));
-    let verdict = ledger.standing(5, digest(1));
-    assert_eq!(verdict, Standing::Refused { until: 60_000 });
+    assert!(ledger.learn(0, digest(1), CrashVerdict::Refused { until: 60_000 }));
+    assert!(!ledger.learn(5, digest(1), CrashVerdict::Refused { until: 60_005 }));
+    assert!(!ledger.learn(5, digest(1), CrashVerdict::Suspect));
+    let verdict = ledger.verdict(5, digest(1));
+    assert_eq!(verdict, CrashVerdict::Refused { until: 60_000 });
 }
 
 #[test]
@@ -209,7 +212,7 @@
 /// Simulated minute with 12 engines and 30 innocent requests per second.
 struct Minute {
     load: Load,
-    scheduler: EngineDesk<usize>,
+    scheduler: EngineScheduler<usize>,
     ledger: CrashLedger,
     rng: SmallRng,
     down_until: [Millis; ENGINES],
@@ -223,7 +226,7 @@
     fn run(seed: u64, load: Load) -> Outcome {
         let mut minute = Minute {
             load,
-            scheduler: EngineDesk::default(),
+            scheduler: EngineScheduler::default(),
             ledger: CrashLedger::default(),
             rng: SmallRng::seed_from_u64(seed),
             down_until: [0; ENGINES],
@@ -261,12 +264,12 @@
     fn set_engines(&mut self, now: Millis) {
         let up = (0..ENGINES).filter(|engine| self.down_until[*engine] <= now);
         let engines: Vec<_> = up
-            .map(|engine| DeskEngine {
+            .map(|engine| SchedulableEngine {
                 key: engine,
                 slots: 64,
                 hall: "hall-a".to_string(),
                 version: String::new(),
-                cold: None,
+                warm_up: None,
                 limit: None,
             })
             .collect();
@@ -279,10 +282,10 @@
 
     fn send(&mut self, now: Millis, request: u32, attempts: u32) {
         let verdict = match self.load.has_ledger {
-            true => self.ledger.standing(now, digest(request)),
-            false => Standing::Unsuspected,
+            true => self.ledger.verdict(now, digest(request)),
+            false => CrashVerdict::Unsuspected,
         };
-        if let Standing::Refused { .. } = verdict {
+        if let CrashVerdict::Refused { .. } = verdict {
             self.outcome.refused_innocent += u32::from(!self.is_fatal(request));
             return;
         }
@@ -295,7 +298,7 @@
             versions: Versions::All,
             halls: None,
             results: Vec::new(),
-            is_suspect: verdict == Standing::Suspect,
+            is_suspect: verdict == CrashVerdict::Suspect,
             urgency: 0,
             waits_ms: 0,
         };
@@ -328,7 +331,7 @@
         self.running = running;
         for run in whole {
             self.scheduler.ended(run.key, PlacementEnd::Whole, now);
-            self.ledger.served(digest(run.request));
+            self.ledger.record_success(digest(run.request));
         }
     }
 
@@ -348,9 +351,9 @@
             let crash = CrashedRun {
                 sent: run.sent,
                 ended: now,
-                was_suspect: self.ledger.standing(now, request) == Standing::Suspect,
+                was_suspect: self.ledger.verdict(now, request) == CrashVerdict::Suspect,
             };
-            self.ledger.crashed(now, request, crash);
+            self.ledger.record_crash(now, request, crash);
             if self.is_fatal(run.request) {
                 continue;
             }
@@ -422,11 +425,14 @@
         ended: 900,
         was_suspect: true,
     };
-    assert_eq!(ledger.crashed(1_000, digest(1), run), Some(3));
-    let verdict = ledger.standing(1_000, digest(1));
-    assert!(matches!(verdict, Standing::Refused { .. }), "{verdict:?}");
+    assert_eq!(ledger.record_crash(1_000, digest(1), run), Some(3));
+    let verdict = ledger.verdict(1_000, digest(1));
+    assert!(
+        matches!(verdict, CrashVerdict::Refused { .. }),
+        "{verdict:?}"
+    );
     assert_eq!(
-        ledger.crashed(1_010, digest(1), run),
+        ledger.record_crash(1_010, digest(1), run),
         None,
         "the same crash"
     );
@@ -443,5 +449,5 @@
         ended: 2_000,
         was_suspect: true,
     };
-    assert_eq!(ledger.crashed(2_020, digest(1), late), None);
+    assert_eq!(ledger.record_crash(2_020, digest(1), late), None);
 }
--- a/crates/routing/tests/suite/engine.rs
+++ b/crates/routing/tests/suite/engine.rs
@@ -1,16 +1,16 @@
 //! Choice of an engine for a generation.
 
-use hollowsail_routing::{choose_engine, engine_goes_first, EngineCandidate};
+use hollowsail_routing::{choose_engine, prefix_outweighs_results, EngineCandidate};
 
 fn engine(affinity: u64) -> EngineCandidate {
     EngineCandidate {
         affinity,
-        keeps_part: false,
+        has_cached_prefix: false,
         load: 0.0,
-        unread_tokens: 0,
+        pending_prefill_tokens: 0,
         slowness: 1.0,
         ejected: false,
-        outside_bytes: 0,
+        remote_bytes: 0,
     }
 }
 
@@ -18,37 +18,37 @@
 fn first_in_rendezvous_order_expects_prefix() {
     let choice =
         choose_engine(&[engine(3), engine(9), engine(5)], 10_000).expect("an engine is chosen");
-    assert_eq!((choice.at, choice.is_home), (1, true));
+    assert_eq!((choice.index, choice.expects_prefix), (1, true));
 }
 
 #[test]
 fn long_prefix_outweighs_moderate_load() {
     let mut preferred = engine(9);
     preferred.load = 0.3;
-    preferred.unread_tokens = 4_000;
+    preferred.pending_prefill_tokens = 4_000;
     assert_eq!(
-        choose_engine(&[engine(3), preferred], 13_000).map(|c| c.at),
+        choose_engine(&[engine(3), preferred], 13_000).map(|c| c.index),
         Some(1)
     );
-    preferred.unread_tokens = 40_000;
+    preferred.pending_prefill_tokens = 40_000;
     let other = choose_engine(&[engine(3), preferred], 13_000).expect("an engine is chosen");
-    assert_eq!((other.at, other.is_home), (0, false));
+    assert_eq!((other.index, other.expects_prefix), (0, false));
 }
 
 #[test]
 fn large_results_outweigh_only_a_short_prefix() {
     let mut remote = engine(9);
-    remote.outside_bytes = 6_000_000;
+    remote.remote_bytes = 6_000_000;
     assert_eq!(
-        choose_engine(&[engine(3), remote], 350).map(|c| c.at),
+        choose_engine(&[engine(3), remote], 350).map(|c| c.index),
         Some(0)
     );
     assert_eq!(
-        choose_engine(&[engine(3), remote], 13_000).map(|c| c.at),
+        choose_engine(&[engine(3), remote], 13_000).map(|c| c.index),
         Some(1)
     );
-    assert!(engine_goes_first(13_000, 6_000_000));
-    assert!(!engine_goes_first(350, 6_000_000));
+    assert!(prefix_outweighs_results(13_000, 6_000_000));
+    assert!(!prefix_outweighs_results(350, 6_000_000));
 }
 
 #[test]
@@ -58,7 +58,7 @@
         ..engine(9)
     };
     assert_eq!(
-        choose_engine(&[engine(3), ejected], 13_000).map(|c| c.at),
+        choose_engine(&[engine(3), ejected], 13_000).map(|c| c.index),
         Some(0)
     );
     assert!(choose_engine(&[ejected, ejected], 13_000).is_some());
@@ -68,7 +68,7 @@
 #[test]
 fn equal_costs_follow_rendezvous_order() {
     let mut preferred = engine(9);
-    preferred.unread_tokens = 100_000;
+    preferred.pending_prefill_tokens = 100_000;
     let candidates = [engine(3), preferred, engine(5)];
-    assert_eq!(choose_engine(&candidates, 1_000).map(|c| c.at), Some(2));
+    assert_eq!(choose_engine(&candidates, 1_000).map(|c| c.index), Some(2));
 }
--- a/crates/routing/tests/suite/event_loop_lag.rs
+++ b/crates/routing/tests/suite/event_loop_lag.rs
@@ -1,38 +1,38 @@
 //! Detection of a lagging event loop.
 
-use hollowsail_routing::Pace;
+use hollowsail_routing::EventLoopLag;
 
 /// Interval between two timers, in milliseconds.
 const INTERVAL_MS: u64 = 50;
 
 /// Records timers that are `late` for `for_ms`; returns whether the process lags then.
-fn run(lag: &mut Pace, from: u64, for_ms: u64, late: u64) -> bool {
+fn run(lag: &mut EventLoopLag, from: u64, for_ms: u64, late: u64) -> bool {
     for now in (from..from + for_ms).step_by(INTERVAL_MS as usize) {
-        lag.woke(now, late);
+        lag.record(now, late);
     }
-    lag.is_slow()
+    lag.is_lagging()
 }
 
 #[test]
 fn late_timers_are_detected_within_500_ms() {
-    let mut lag = Pace::default();
+    let mut lag = EventLoopLag::default();
     assert!(!run(&mut lag, 0, 10_000, 2));
     assert!(run(&mut lag, 10_000, 500, 30));
 }
 
 #[test]
 fn single_late_timer_is_ignored() {
-    let mut lag = Pace::default();
+    let mut lag = EventLoopLag::default();
     run(&mut lag, 0, 1_000, 1);
-    lag.woke(1_000, 2_000);
-    assert!(!lag.is_slow());
-    lag.woke(1_050, 900);
-    assert!(!lag.is_slow(), "two late timers are ignored");
+    lag.record(1_000, 2_000);
+    assert!(!lag.is_lagging());
+    lag.record(1_050, 900);
+    assert!(!lag.is_lagging(), "two late timers are ignored");
 }
 
 #[test]
 fn recovery_takes_a_while_on_time() {
-    let mut lag = Pace::default();
+    let mut lag = EventLoopLag::default();
     run(&mut lag, 0, 1_000, 40);
     assert!(
         run(&mut lag, 1_000, 3_000, 1),
@@ -45,9 +45,9 @@
 
 #[test]
 fn each_change_is_reported_once() {
-    let mut lag = Pace::default();
+    let mut lag = EventLoopLag::default();
     let late = [vec![1; 50], vec![40; 50], vec![1; 200]].concat();
     let times = late.into_iter().enumerate();
-    let changes = times.filter(|(index, late)| lag.woke(*index as u64 * INTERVAL_MS, *late));
+    let changes = times.filter(|(index, late)| lag.record(*index as u64 * INTERVAL_MS, *late));
     assert_eq!(changes.count(), 2);
 }
--- a/crates/routing/tests/suite/limit.rs
+++ b/crates/routing/tests/suite/limit.rs
@@ -2,7 +2,8 @@
 
 use hollowsail_routing::limit::SETTLED_AFTER_MS;
 use hollowsail_routing::{
-    Demand, DemandQueue, DeskEngine, EngineDesk, LimitGate, LimitShare, Millis, Turn, Versions,
+    Demand, DemandQueue, EngineScheduler, LimitGate, LimitShare, Millis, QueueEstimate,
+    SchedulableEngine, Versions,
 };
 use proptest::prelude::*;
 
@@ -143,13 +144,13 @@
     }
 }
 
-fn engine(key: &'static str, limit: Option<f64>) -> DeskEngine<&'static str> {
-    DeskEngine {
+fn engine(key: &'static str, limit: Option<f64>) -> SchedulableEngine<&'static str> {
+    SchedulableEngine {
         key,
         slots: 8,
         hall: "hall-a".to_string(),
         version: String::new(),
-        cold: None,
+        warm_up: None,
         limit,
     }
 }
@@ -170,15 +171,15 @@
     }
 }
 
-fn scheduler(engines: &[DeskEngine<&'static str>]) -> EngineDesk<&'static str> {
-    let mut scheduler = EngineDesk::default();
+fn scheduler(engines: &[SchedulableEngine<&'static str>]) -> EngineScheduler<&'static str> {
+    let mut scheduler = EngineScheduler::default();
     scheduler.set_limit_share(settled());
     scheduler.set_engines(0, engines);
     scheduler
 }
 
 /// Places demands until no engine is open, 100 at most; returns their engines.
-fn place_all(scheduler: &mut EngineDesk<&'static str>, now: Millis) -> Vec<&'static str> {
+fn place_all(scheduler: &mut EngineScheduler<&'static str>, now: Millis) -> Vec<&'static str> {
     let mut placed = Vec::new();
     while let Some((_, engine)) = scheduler.place(now, &demand(Vec::new()), |_| 0) {
         placed.push(engine);
@@ -209,21 +210,24 @@
         4,
         "one burst per engine"
     );
-    let Turn { in_ms, per_s } = scheduler
-        .turn(0, &demand(vec![]), 0)
+    let QueueEstimate { wait_ms, per_s } = scheduler
+        .queue_estimate(0, &demand(vec![]), 0)
         .expect("an engine opens");
     assert!(
-        (500..=530).contains(&in_ms) && per_s > 3.7,
-        "in {in_ms} ms at {per_s} per second"
+        (500..=530).contains(&wait_ms) && per_s > 3.7,
+        "in {wait_ms} ms at {per_s} per second"
     );
     let behind = scheduler
-        .turn(0, &demand(vec![]), 4)
+        .queue_estimate(0, &demand(vec![]), 4)
         .expect("an engine opens")
-        .in_ms;
+        .wait_ms;
     assert!((1_500..=1_600).contains(&behind), "in {behind} ms");
-    assert_eq!(scheduler.turn(0, &demand(vec!["a", "b"]), 0), None);
-    assert_eq!(scheduler.next_opening(0), Some(in_ms));
-    assert!(!scheduler.is_any_open(0) && scheduler.is_any_open(in_ms));
+    assert_eq!(
+        scheduler.queue_estimate(0, &demand(vec!["a", "b"]), 0),
+        None
+    );
+    assert_eq!(scheduler.next_opening(0), Some(wait_ms));
+    assert!(!scheduler.is_any_open(0) && scheduler.is_any_open(wait_ms));
     scheduler.set_engines(0, &[engine("a", None), engine("b", Some(2.0))]);
     assert!(scheduler.is_any_open(0), "engine a has no limit any more");
 }
@@ -250,13 +254,17 @@
 #[test]
 fn retry_times_are_spaced_at_engine_rate() {
     let mut queue: DemandQueue<()> = DemandQueue::default();
-    let retry_times: Vec<Millis> = (0..10).map(|_| queue.return_in(1_000, 400, 10.0)).collect();
+    let retry_times: Vec<Millis> = (0..10)
+        .map(|_| queue.retry_after_ms(1_000, 400, 10.0))
+        .collect();
     assert_eq!(retry_times[0], 400);
     assert!(retry_times.windows(2).all(|pair| pair[1] == pair[0] + 100));
-    let later = (0..1_000).map(|_| queue.return_in(1_000, 400, 10.0)).max();
+    let later = (0..1_000)
+        .map(|_| queue.retry_after_ms(1_000, 400, 10.0))
+        .max();
     assert_eq!(later, Some(3_000));
     assert_eq!(
-        queue.return_in(9_000, 50, 10.0),
+        queue.retry_after_ms(9_000, 50, 10.0),
         50,
         "earlier retry times have passed"
     );
--- a/crates/routing/tests/suite/progress.rs
+++ b/crates/routing/tests/suite/progress.rs
@@ -1,7 +1,7 @@
 //! Checks the reported status against a model target that knows whether it executed.
 
 use hollowsail_routing::{
-    attempt_status, may_try_again, outcome_of, stage_status, Outcome, Progress, StageStatus,
+    attempt_status, may_retry, outcome_of, stage_status, Outcome, Progress, StageStatus,
 };
 use proptest::prelude::*;
 
@@ -25,7 +25,7 @@
     for (progress, ran) in attempts {
         attempted.push(*progress);
         executed += usize::from(*ran);
-        if !may_try_again(*progress, repeatable) {
+        if !may_retry(*progress, repeatable) {
             break;
         }
     }
@@ -83,10 +83,10 @@
     for (progress, status, retry_if_repeatable, retry_if_not) in rows {
         assert_eq!(attempt_status(progress), status, "{progress:?}");
         assert_eq!(
-            may_try_again(progress, true),
+            may_retry(progress, true),
             retry_if_repeatable,
             "{progress:?}"
         );
-        assert_eq!(may_try_again(progress, false), retry_if_not, "{progress:?}");
+        assert_eq!(may_retry(progress, false), retry_if_not, "{progress:?}");
     }
 }
--- a/crates/routing/tests/suite/random_admission.rs
+++ b/crates/routing/tests/suite/random_admission.rs
@@ -1,7 +1,9 @@
 //! Property tests of admission: the critical path matches an exhaustive search, and more
 //! load or less time never helps.
 
-use hollowsail_routing::{admit, longest_way, ServiceLoad, StageDemand, StageExpectation, Verdict};
+use hollowsail_routing::{
+    admit, critical_path, ServiceLoad, StageDemand, StageExpectation, Verdict,
+};
 use proptest::prelude::*;
 
 /// Predecessors of a stage as a bit set, and its demand.
@@ -61,7 +63,7 @@
             .iter()
             .zip(&random_stages)
             .map(|(list, (_, demand))| (list.as_slice(), *demand));
-        let path = longest_way(stages);
+        let path = critical_path(stages);
         let best = (0..random_stages.len())
             .map(|stage| longest_to(&random_stages, stage))
             .fold(0.0, f64::max);
--- a/crates/routing/tests/suite/scheduler.rs
+++ b/crates/routing/tests/suite/scheduler.rs
@@ -1,18 +1,20 @@
 //! The scheduler that places generations on engines.
 
-use hollowsail_routing::{Demand, DeskEngine, EngineDesk, PlacementEnd, PlacementKey, Versions};
+use hollowsail_routing::{
+    Demand, EngineScheduler, PlacementEnd, PlacementKey, SchedulableEngine, Versions,
+};
 use proptest::prelude::*;
 
-fn scheduler(engines: &[&'static str]) -> EngineDesk<&'static str> {
-    let mut scheduler = EngineDesk::default();
-    let engines: Vec<DeskEngine<&'static str>> = engines
+fn scheduler(engines: &[&'static str]) -> EngineScheduler<&'static str> {
+    let mut scheduler = EngineScheduler::default();
+    let engines: Vec<SchedulableEngine<&'static str>> = engines
         .iter()
-        .map(|key| DeskEngine {
+        .map(|key| SchedulableEngine {
             key: *key,
             slots: 64,
             hall: format!("hall-{key}"),
             version: String::new(),
-            cold: None,
+            warm_up: None,
             limit: None,
         })
         .collect();
@@ -42,7 +44,7 @@
 }
 
 fn place(
-    scheduler: &mut EngineDesk<&'static str>,
+    scheduler: &mut EngineScheduler<&'static str>,
     now: u64,
     part: &str,
 ) -> (PlacementKey, &'static str) {
@@ -56,7 +58,7 @@
     let mut scheduler = scheduler(&["a", "b", "c"]);
     let (key, first) = place(&mut scheduler, 0, "p");
     assert_eq!(first, "c");
-    scheduler.prompt_read(key, 200);
+    scheduler.prefill_done(key, 200);
     assert_eq!(place(&mut scheduler, 300, "p").1, "c");
 }
 
@@ -79,7 +81,8 @@
     let keys: Vec<_> = (0..8)
         .map(|n| place(&mut scheduler, 0, &format!("p{n}")).0)
         .collect();
-    keys.iter().for_each(|key| scheduler.prompt_read(*key, 400));
+    keys.iter()
+        .for_each(|key| scheduler.prefill_done(*key, 400));
     assert_eq!(
         place(&mut scheduler, 500, "new").1,
         "c",
@@ -122,7 +125,7 @@
 
 /// Places a demand from a hall and ends it at once; returns the engine and those ejected.
 fn end_from(
-    scheduler: &mut EngineDesk<&'static str>,
+    scheduler: &mut EngineScheduler<&'static str>,
     now: u64,
     hall: &str,
     end: PlacementEnd,
@@ -135,7 +138,7 @@
         .place(now, &demand, order)
         .expect("an engine is chosen");
     if end == PlacementEnd::Whole {
-        scheduler.prompt_read(key, now + 100);
+        scheduler.prefill_done(key, now + 100);
     }
     (engine, scheduler.ended(key, end, now + 100))
 }
@@ -198,7 +201,7 @@
                 order,
             )
             .expect("engine c is chosen");
-        ejected.extend(scheduler.ended(key, PlacementEnd::Left, n + 4_000));
+        ejected.extend(scheduler.ended(key, PlacementEnd::Abandoned, n + 4_000));
     }
     assert_eq!(ejected, ["c"]);
 }
@@ -214,11 +217,11 @@
         .place(0, &not_c, order)
         .expect("an engine is chosen");
     assert_eq!(engine, "b");
-    scheduler.prompt_read(key, 200);
+    scheduler.prefill_done(key, 200);
     scheduler.ended(key, PlacementEnd::Whole, 900);
     let (key, engine) = place(&mut scheduler, 1_000, "p");
     assert_eq!(engine, "b", "it caches the prefix");
-    scheduler.ended(key, PlacementEnd::Left, 1_001);
+    scheduler.ended(key, PlacementEnd::Abandoned, 1_001);
     assert_eq!(
         place(&mut scheduler, 1_100, "p").1,
         "b",
@@ -259,13 +262,13 @@
                 0..=2 => open.push(place(&mut scheduler, now, &format!("p{}", pick % 5)).0),
                 3 => {
                     if !open.is_empty() {
-                        scheduler.prompt_read(open[pick % open.len()], now);
+                        scheduler.prefill_done(open[pick % open.len()], now);
                     }
                 }
                 _ => {
                     if !open.is_empty() {
                         let key = open.swap_remove(pick % open.len());
-                        let ends = [PlacementEnd::Whole, PlacementEnd::Left, PlacementEnd::Failed];
+                        let ends = [PlacementEnd::Whole, PlacementEnd::Abandoned, PlacementEnd::Failed];
                         scheduler.ended(key, ends[pick % 3], now);
                     }
                 }
@@ -290,7 +293,7 @@
 #[test]
 fn suspects_are_isolated() {
     let mut scheduler = scheduler(&["a", "b", "c", "d", "e"]);
-    let place = |scheduler: &mut EngineDesk<&'static str>, demand: &Demand<&'static str>| {
+    let place = |scheduler: &mut EngineScheduler<&'static str>, demand: &Demand<&'static str>| {
         let placed = scheduler.place(0, demand, order);
         placed.expect("an engine is chosen")
     };
@@ -300,7 +303,7 @@
     let idle = place(&mut scheduler, &suspect());
     let other = place(&mut scheduler, &suspect());
     assert_ne!(idle.1, other.1, "two suspects never share an engine");
-    scheduler.ended(other.0, PlacementEnd::Left, 0);
+    scheduler.ended(other.0, PlacementEnd::Abandoned, 0);
     for number in 0..20 {
         let (_, engine) = place(&mut scheduler, &demand(&format!("p{number}")));
         assert_ne!(engine, idle.1, "placed beside a suspect");
@@ -334,12 +337,12 @@
 /// A restarted engine has a new incarnation and an empty cache.
 #[test]
 fn restarted_engine_caches_no_prefix() {
-    let engine = |id: &'static str, started: u64| DeskEngine {
+    let engine = |id: &'static str, started: u64| SchedulableEngine {
         key: (id, started),
         slots: 64,
         hall: "hall-a".to_string(),
         version: String::new(),
-        cold: None,
+        warm_up: None,
         limit: None,
     };
     let demand: Demand<(&str, u64)> = Demand {
@@ -356,13 +359,13 @@
         waits_ms: 0,
     };
     let prefers = |id: &'static str| move |key: &(&str, u64)| u64::from(key.0 == id);
-    let next_after = |restarted: &[DeskEngine<(&'static str, u64)>]| {
-        let mut scheduler = EngineDesk::default();
+    let next_after = |restarted: &[SchedulableEngine<(&'static str, u64)>]| {
+        let mut scheduler = EngineScheduler::default();
         scheduler.set_engines(0, &[engine("a", 1), engine("b", 1)]);
         let (first, _) = scheduler
             .place(0, &demand, prefers("a"))
             .expect("an engine is chosen");
-        scheduler.prompt_read(first, 100);
+        scheduler.prefill_done(first, 100);
         scheduler.ended(first, PlacementEnd::Whole, 150);
         scheduler.set_engines(200, restarted);
         scheduler
--- a/crates/routing/tests/suite/warm_up.rs
+++ b/crates/routing/tests/suite/warm_up.rs
@@ -2,10 +2,12 @@
 
 use std::collections::VecDeque;
 
-use hollowsail_routing::cold::{
-    PAST_DESK_SHARE, SCHEDULER_SHARE, SETTLED_SCHEDULER_SHARE, WITHOUT_DESK_SHARE,
+use hollowsail_routing::warm_up::{
+    BYPASS_SHARE, NO_SCHEDULER_SHARE, SCHEDULER_SHARE, SETTLED_SCHEDULER_SHARE,
+};
+use hollowsail_routing::{
+    Demand, EngineScheduler, SchedulableEngine, Versions, WarmUp, WarmUpGate,
 };
-use hollowsail_routing::{Cold, ColdGate, Demand, DeskEngine, EngineDesk, Versions};
 use proptest::prelude::*;
 
 use crate::config;
@@ -42,10 +44,10 @@
         warm_ups in proptest::collection::vec((0u64..3_000, 500u64..3_000), 1..4),
         overlap_until in 0u64..9_000,
     ) {
-        let mut schedulers = [ColdGate::default(); 2];
-        let mut entry_gates = vec![ColdGate::default(); entries];
+        let mut schedulers = [WarmUpGate::default(); 2];
+        let mut entry_gates = vec![WarmUpGate::default(); entries];
         let mut warm_ups = warm_ups.into_iter();
-        let mut warm_up = Cold { until: 0, per_s };
+        let mut warm_up = WarmUp { until: 0, per_s };
         let mut starts_at = 0;
         let mut arrivals = Vec::new();
         for now in 0..9_000u64 {
@@ -64,10 +66,10 @@
             let owners = owners.map(|(gate, share)| (gate, share, 0.0));
             let bypassing = entry_gates.iter_mut().enumerate().map(|(index, gate)| {
                 let phase = index as f64 / entries as f64;
-                (gate, PAST_DESK_SHARE / entries as f64, phase)
+                (gate, BYPASS_SHARE / entries as f64, phase)
             });
             for (gate, share, phase) in owners.chain(bypassing) {
-                gate.meet(now, Some(warm_up), share, phase);
+                gate.update(now, Some(warm_up), share, phase);
                 if gate.is_open(now) {
                     gate.sent(now, share);
                     arrivals.push(now + travel_ms[arrivals.len() % travel_ms.len()]);
@@ -83,13 +85,13 @@
     }
 }
 
-fn warm_up(until: u64) -> Option<Cold> {
-    Some(Cold { until, per_s: 10.0 })
+fn warm_up(until: u64) -> Option<WarmUp> {
+    Some(WarmUp { until, per_s: 10.0 })
 }
 
 #[test]
 fn warm_target_is_not_paced() {
-    let mut gate = ColdGate::default();
+    let mut gate = WarmUpGate::default();
     for _ in 0..100 {
         assert!(gate.is_open(0));
         gate.sent(0, SCHEDULER_SHARE);
@@ -98,28 +100,28 @@
 
 #[test]
 fn requests_are_spaced_during_warm_up() {
-    let mut gate = ColdGate::default();
-    gate.meet(0, warm_up(3_000), WITHOUT_DESK_SHARE, 0.0);
+    let mut gate = WarmUpGate::default();
+    gate.update(0, warm_up(3_000), NO_SCHEDULER_SHARE, 0.0);
     assert!(gate.is_open(0));
-    gate.sent(0, WITHOUT_DESK_SHARE);
+    gate.sent(0, NO_SCHEDULER_SHARE);
     assert!(!gate.is_open(124));
     assert_eq!(gate.opens(0), 125);
     assert!(gate.is_open(125));
-    gate.sent(2_990, WITHOUT_DESK_SHARE);
+    gate.sent(2_990, NO_SCHEDULER_SHARE);
     assert_eq!(gate.opens(2_991), 3_000, "the warm-up ends then");
-    gate.meet(2_991, None, WITHOUT_DESK_SHARE, 0.0);
+    gate.update(2_991, None, NO_SCHEDULER_SHARE, 0.0);
     assert!(gate.is_open(2_991));
 }
 
 #[test]
 fn scheduler_paces_engines_that_warm_up() {
-    let mut scheduler = EngineDesk::default();
-    let engine = |key: &'static str, cold| DeskEngine {
+    let mut scheduler = EngineScheduler::default();
+    let engine = |key: &'static str, warm_up| SchedulableEngine {
         key,
         slots: 64,
         hall: "hall-a".to_string(),
         version: String::new(),
-        cold,
+        warm_up,
         limit: None,
     };
     let engines = [
@@ -154,13 +156,13 @@
 
 #[test]
 fn closed_engines_get_no_placement() {
-    let mut scheduler = EngineDesk::default();
-    let engine = DeskEngine {
+    let mut scheduler = EngineScheduler::default();
+    let engine = SchedulableEngine {
         key: "cold",
         slots: 64,
         hall: "hall-a".to_string(),
         version: String::new(),
-        cold: warm_up(3_000),
+        warm_up: warm_up(3_000),
         limit: None,
     };
     scheduler.set_engines(0, &[engine]);
--- a/crates/stages/src/batch/calls.rs
+++ b/crates/stages/src/batch/calls.rs
@@ -86,7 +86,7 @@
     ///
     /// Memory reserved for the results is released here only for a refused call. After any
     /// other end, also without an answer, the worker may retain the results, so the owner
-    /// releases each with [`BatchQueue::free`].
+    /// releases each with [`BatchQueue::release_memory`].
     pub fn end_call(&mut self, call: CallKey, end: CallEnd, now: Millis) -> Vec<PieceKey> {
         let Some(call) = self.calls.remove(call) else {
             return Vec::new();
@@ -95,7 +95,7 @@
         let mut unfinished = Vec::new();
         for StartedPiece { key, result_bytes } in call.pieces {
             if end == CallEnd::Refused {
-                self.free(call.worker, result_bytes);
+                self.release_memory(call.worker, result_bytes);
             }
             let Some(piece) = self.pieces.get_mut(key) else {
                 continue;
--- a/crates/stages/src/batch/choose.rs
+++ b/crates/stages/src/batch/choose.rs
@@ -114,7 +114,7 @@
     /// if a worker there is expected to be free before the wait ends.
     fn is_eligible_in(&self, hall: HallKey, key: PieceKey, now: Millis) -> bool {
         let piece = &self.pieces[key];
-        if !piece.order.halls.contain(hall) {
+        if !piece.order.halls.contains(hall) {
             return false;
         }
         let preferred = piece.order.hall.filter(|preferred| *preferred != hall);
--- a/crates/stages/src/batch/mod.rs
+++ b/crates/stages/src/batch/mod.rs
@@ -1,7 +1,7 @@
 //! Batch queue of one stage service, shared by all its workers. A call has a fixed cost
 //! plus a cost per piece, so pieces of different requests share calls. The owner pushes
 //! pieces, takes calls with [`BatchQueue::next_call`], sends them, and reports how each
-//! ended. Worker memory is reserved for each result until [`BatchQueue::free`] is called.
+//! ended. Worker memory is reserved for each result until [`BatchQueue::release_memory`] is called.
 
 mod calls;
 mod choose;
@@ -131,7 +131,7 @@
 
     /// Isolates the group of a piece: it shares no call with other groups, and has one call
     /// at a time. Limits the damage of a piece that may crash its worker.
-    pub fn set_alone(&mut self, piece: PieceKey) {
+    pub fn isolate(&mut self, piece: PieceKey) {
         let group = self.pieces.get(piece).map(|piece| piece.order.group);
         if let Some(group) = group.and_then(|group| self.groups.get_mut(&group)) {
             group.is_isolated = true;
--- a/crates/stages/src/batch/retention.rs
+++ b/crates/stages/src/batch/retention.rs
@@ -29,7 +29,7 @@
 
 impl<T> BatchQueue<T> {
     /// Records the release of a result `ms` after the start of its call.
-    pub fn record_stay(&mut self, bytes: u64, ms: Millis) {
+    pub fn record_retention(&mut self, bytes: u64, ms: Millis) {
         self.retention.record(bytes, ms);
     }
 
--- a/crates/stages/src/batch/types.rs
+++ b/crates/stages/src/batch/types.rs
@@ -51,7 +51,7 @@
         )
     }
 
-    pub fn contain(self, hall: HallKey) -> bool {
+    pub fn contains(self, hall: HallKey) -> bool {
         self == Halls::ALL || self.0 & Self::bit(hall) != 0
     }
 
--- a/crates/stages/src/batch/workers.rs
+++ b/crates/stages/src/batch/workers.rs
@@ -135,7 +135,7 @@
 
     /// Returns true, and counts the call, when a call that releases results may be sent to
     /// a worker now. Otherwise the owner tries again shortly.
-    pub fn begin_free(&mut self, worker: WorkerKey, now: Millis) -> bool {
+    pub fn try_start_release(&mut self, worker: WorkerKey, now: Millis) -> bool {
         let share = self.limit_share;
         let Some(state) = self.workers.get_mut(worker) else {
             return true;
@@ -204,21 +204,21 @@
     /// Marks the memory of a worker as full, although the accounting here shows free
     /// memory: results differ from their declared size, and the worker releases them with a
     /// delay.
-    pub fn no_room(&mut self, worker: WorkerKey, now: Millis) {
+    pub fn mark_memory_full(&mut self, worker: WorkerKey, now: Millis) {
         if let Some(worker) = self.workers.get_mut(worker) {
             worker.memory_full_until = now + MEMORY_FULL_MS;
         }
     }
 
     /// Sends a worker no call before `until`.
-    pub fn rest(&mut self, worker: WorkerKey, until: Millis) {
+    pub fn back_off(&mut self, worker: WorkerKey, until: Millis) {
         if let Some(worker) = self.workers.get_mut(worker) {
             worker.backoff_until = worker.backoff_until.max(until);
         }
     }
 
     /// Releases the memory of results at a worker.
-    pub fn free(&mut self, worker: WorkerKey, bytes: u64) {
+    pub fn release_memory(&mut self, worker: WorkerKey, bytes: u64) {
         if let Some(worker) = self.workers.get_mut(worker) {
             worker.held_bytes = worker.held_bytes.saturating_sub(bytes);
         }
@@ -269,7 +269,7 @@
     }
 
     /// Adds the state that the previous owner reported for a worker. Its memory is released
-    /// with [`BatchQueue::free`]. Slowness is carried over, so that a slow worker doesn't
+    /// with [`BatchQueue::release_memory`]. Slowness is carried over, so that a slow worker doesn't
     /// get a whole batch from each new owner.
     pub fn take_over(&mut self, worker: WorkerKey, previous: &WorkerState, now: Millis) {
         if let Some(state) = self.workers.get_mut(worker) {
--- a/crates/stages/src/graph.rs
+++ b/crates/stages/src/graph.rs
@@ -4,7 +4,7 @@
 
 /// One piece of one stage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct PieceAt {
+pub struct PieceIndex {
     /// Index of the stage in its route.
     pub stage: usize,
     /// Index of the piece in its stage.
@@ -13,7 +13,7 @@
 
 /// Number of pieces and dependencies of one stage.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct StageSize {
+pub struct StageSpec {
     /// 0 skips the stage.
     pub pieces: usize,
     /// Earlier stages whose results this stage takes as input.
@@ -32,14 +32,14 @@
 /// Progress of one request through its stages.
 #[derive(Debug, Clone)]
 pub struct StageGraph {
-    specs: Vec<StageSize>,
+    specs: Vec<StageSpec>,
     states: Vec<Vec<PieceState>>,
     align_final_stages: bool,
 }
 
 impl StageGraph {
     /// A graph with all pieces pending. A stage may depend on earlier stages only.
-    pub fn new(specs: Vec<StageSize>) -> Self {
+    pub fn new(specs: Vec<StageSpec>) -> Self {
         let states = specs
             .iter()
             .map(|spec| vec![PieceState::Pending; spec.pieces])
@@ -52,7 +52,7 @@
     }
 
     /// Lets final stages start independently, for comparison with the aligned start.
-    pub fn with_separate_finals(self) -> Self {
+    pub fn with_independent_final_stages(self) -> Self {
         StageGraph {
             align_final_stages: false,
             ..self
@@ -60,8 +60,8 @@
     }
 
     /// Marks all pieces that can start as started, and returns them.
-    pub fn start_ready(&mut self) -> Vec<PieceAt> {
-        let ready: Vec<PieceAt> = (0..self.specs.len())
+    pub fn start_ready(&mut self) -> Vec<PieceIndex> {
+        let ready: Vec<PieceIndex> = (0..self.specs.len())
             .filter(|&stage| self.can_start(stage))
             .flat_map(|stage| self.pending_pieces(stage))
             .collect();
@@ -84,7 +84,7 @@
         let dependencies = &self.specs[stage].after;
         dependencies
             .iter()
-            .all(|&dependency| self.is_made(dependency))
+            .all(|&dependency| self.is_complete(dependency))
     }
 
     /// Non-empty stages without dependents.
@@ -93,34 +93,34 @@
             .filter(|&stage| self.specs[stage].pieces > 0 && !self.has_dependents(stage))
     }
 
-    pub fn is_made(&self, stage: usize) -> bool {
+    pub fn is_complete(&self, stage: usize) -> bool {
         self.states[stage]
             .iter()
             .all(|state| matches!(state, PieceState::Completed(_)))
     }
 
-    fn pending_pieces(&self, stage: usize) -> impl Iterator<Item = PieceAt> + '_ {
+    fn pending_pieces(&self, stage: usize) -> impl Iterator<Item = PieceIndex> + '_ {
         self.states[stage]
             .iter()
             .enumerate()
             .filter(|(_, state)| **state == PieceState::Pending)
-            .map(move |(piece, _)| PieceAt { stage, piece })
+            .map(move |(piece, _)| PieceIndex { stage, piece })
     }
 
     /// Records the result of a piece.
-    pub fn made(&mut self, id: PieceAt, handle: String) {
+    pub fn complete(&mut self, id: PieceIndex, handle: String) {
         self.states[id.stage][id.piece] = PieceState::Completed(handle);
     }
 
     /// Makes a piece pending again after its work failed or its result was lost.
-    pub fn lose(&mut self, id: PieceAt) {
+    pub fn reset(&mut self, id: PieceIndex) {
         self.states[id.stage][id.piece] = PieceState::Pending;
     }
 
     /// Resets the pieces behind lost inputs of `stage`, and recursively the consumed pieces
     /// that these depend on. Returns all reset pieces; their results must not be used any
     /// more.
-    pub fn lose_inputs(&mut self, stage: usize, handles: &[String]) -> Vec<PieceAt> {
+    pub fn reset_inputs(&mut self, stage: usize, handles: &[String]) -> Vec<PieceIndex> {
         let mut reset = Vec::new();
         for dependency in self.specs[stage].after.clone() {
             let is_lost = |handle: &String| handles.contains(handle);
@@ -134,7 +134,7 @@
     }
 
     /// Recursively resets consumed pieces that `stage` depends on.
-    fn reset_consumed_before(&mut self, stage: usize) -> Vec<PieceAt> {
+    fn reset_consumed_before(&mut self, stage: usize) -> Vec<PieceIndex> {
         let mut reset = Vec::new();
         for dependency in self.specs[stage].after.clone() {
             let pieces = self.reset_matching(dependency, String::is_empty);
@@ -151,12 +151,12 @@
         &mut self,
         stage: usize,
         matches_handle: impl Fn(&String) -> bool,
-    ) -> Vec<PieceAt> {
+    ) -> Vec<PieceIndex> {
         let mut reset = Vec::new();
         for (piece, state) in self.states[stage].iter_mut().enumerate() {
             if matches!(state, PieceState::Completed(handle) if matches_handle(handle)) {
                 *state = PieceState::Pending;
-                reset.push(PieceAt { stage, piece });
+                reset.push(PieceIndex { stage, piece });
             }
         }
         reset
@@ -180,7 +180,7 @@
 
     /// Takes the handles of results whose dependents are all complete. Each handle is
     /// returned once.
-    pub fn take_spent(&mut self) -> Vec<String> {
+    pub fn take_consumed(&mut self) -> Vec<String> {
         let consumed: Vec<usize> = (0..self.specs.len())
             .filter(|&stage| self.has_dependents(stage) && self.dependents_complete(stage))
             .collect();
@@ -203,12 +203,12 @@
 
     fn dependents_complete(&self, stage: usize) -> bool {
         self.dependents(stage)
-            .all(|dependent| self.is_made(dependent))
+            .all(|dependent| self.is_complete(dependent))
     }
 
     /// Non-empty stages that depend on this one.
     fn dependents(&self, stage: usize) -> impl Iterator<Item = usize> + '_ {
-        let is_dependent = move |spec: &StageSize| spec.pieces > 0 && spec.after.contains(&stage);
+        let is_dependent = move |spec: &StageSpec| spec.pieces > 0 && spec.after.contains(&stage);
         self.specs
             .iter()
             .enumerate()
@@ -224,14 +224,14 @@
     }
 
     pub fn is_done(&self) -> bool {
-        (0..self.specs.len()).all(|stage| self.is_made(stage))
+        (0..self.specs.len()).all(|stage| self.is_complete(stage))
     }
 
     /// Longest path from the end of a stage to the request, in milliseconds, where `ms_of`
     /// gives the duration of a stage.
-    pub fn ms_after(&self, stage: usize, ms_of: &impl Fn(usize) -> u64) -> u64 {
+    pub fn critical_path_ms_after(&self, stage: usize, ms_of: &impl Fn(usize) -> u64) -> u64 {
         let paths = self.dependents(stage);
-        let longest = paths.map(|next| ms_of(next) + self.ms_after(next, ms_of));
+        let longest = paths.map(|next| ms_of(next) + self.critical_path_ms_after(next, ms_of));
         longest.max().unwrap_or(0)
     }
 }
--- a/crates/stages/src/lib.rs
+++ b/crates/stages/src/lib.rs
@@ -11,7 +11,7 @@
     BatchQueue, CallEnd, CallKey, GroupKey, HallKey, Halls, PieceKey, PieceOrder, PoolRules,
     QueueLoad, StartedCall, StartedPiece, WorkerKey, WorkerState,
 };
-pub use graph::{PieceAt, StageGraph, StageSize};
+pub use graph::{PieceIndex, StageGraph, StageSpec};
 
 /// Milliseconds since the owning process started.
 pub type Millis = u64;
--- a/crates/stages/tests/suite/batch.rs
+++ b/crates/stages/tests/suite/batch.rs
@@ -47,7 +47,7 @@
 fn finish(queue: &mut BatchQueue<u64>, call: &StartedCall, now: u64) {
     for piece in &call.pieces {
         queue.finish(piece.key);
-        queue.free(call.worker, piece.result_bytes);
+        queue.release_memory(call.worker, piece.result_bytes);
     }
     queue.end_call(call.call, CallEnd::Answered, now);
 }
@@ -205,7 +205,7 @@
         queue.next_call(0).is_none(),
         "the other worker's memory is reserved for group 3"
     );
-    queue.free(roomier, 400_000);
+    queue.release_memory(roomier, 400_000);
     let fourth = queue.next_call(1).expect("there is enough memory");
     assert_eq!(groups(&queue, &fourth), [3, 3]);
 }
@@ -231,7 +231,7 @@
         queue.next_call(30).is_none(),
         "the memory is reserved for group 3"
     );
-    queue.free(working, 600_000);
+    queue.release_memory(working, 600_000);
     let next = queue.next_call(40).expect("there is enough memory");
     assert_eq!(groups(&queue, &next), [3, 3, 4]);
 }
@@ -240,7 +240,7 @@
 fn full_worker_gets_only_small_results() {
     let mut queue = BatchQueue::new(rules());
     let worker = queue.add_worker(HERE);
-    queue.no_room(worker, 0);
+    queue.mark_memory_full(worker, 0);
     push(
         &mut queue,
         PieceOrder {
@@ -433,14 +433,14 @@
         (slots(&queue) - 4.0 / 1.5).abs() < 0.01,
         "no retention observed yet"
     );
-    queue.record_stay(250_000, 280);
+    queue.record_retention(250_000, 280);
     assert!(
         (slots(&queue) - 2.0).abs() < 0.01,
         "each result is retained for two calls"
     );
     for _ in 0..1_000 {
-        queue.record_stay(250_000, 140);
-        queue.record_stay(100, 100_000);
+        queue.record_retention(250_000, 140);
+        queue.record_retention(100, 100_000);
     }
     assert!(slots(&queue) > 3.0, "small results have little weight");
 }
@@ -507,7 +507,7 @@
     push(&mut queue, order(1), 1);
     let isolated = push(&mut queue, order(2), 2);
     push(&mut queue, order(3), 1);
-    queue.set_alone(isolated[0]);
+    queue.isolate(isolated[0]);
     let call = queue.next_call(0).expect("a worker is free");
     assert_eq!(
         groups(&queue, &call),
@@ -525,7 +525,7 @@
     queue.add_worker(HERE);
     queue.add_worker(HERE);
     let isolated = push(&mut queue, order(1), 6);
-    queue.set_alone(isolated[0]);
+    queue.isolate(isolated[0]);
     let call = queue.next_call(0).expect("a worker is free");
     assert_eq!(call.pieces.len(), 4, "a whole batch");
     assert!(queue.next_call(0).is_none(), "the rest of the group waits");
@@ -545,7 +545,7 @@
     let call = queue.next_call(0).expect("a worker is free");
     assert_eq!(groups(&queue, &call), [1, 2, 3]);
     for piece in queue.end_call(call.call, CallEnd::Failed, 50) {
-        queue.set_alone(piece);
+        queue.isolate(piece);
         queue.requeue(piece);
     }
     let call = queue.next_call(50).expect("the other worker is free");
@@ -575,7 +575,7 @@
 #[test]
 fn hall_set_excludes_numbers_above_127() {
     let halls = Halls::only([HERE, HallKey(127), HallKey(128)]);
-    assert!(halls.contain(HERE) && halls.contain(HallKey(127)));
-    assert!(!halls.contain(THERE) && !halls.contain(HallKey(128)));
-    assert!(Halls::ALL.contain(HallKey(128)));
+    assert!(halls.contains(HERE) && halls.contains(HallKey(127)));
+    assert!(!halls.contains(THERE) && !halls.contains(HallKey(128)));
+    assert!(Halls::ALL.contains(HallKey(128)));
 }
--- a/crates/stages/tests/suite/graph.rs
+++ b/crates/stages/tests/suite/graph.rs
@@ -1,16 +1,16 @@
 //! Tests for the stage graph: what can start, and from which inputs.
 
-use hollowsail_stages::{PieceAt, StageGraph, StageSize};
+use hollowsail_stages::{PieceIndex, StageGraph, StageSpec};
 
-fn spec(pieces: usize, after: &[usize]) -> StageSize {
-    StageSize {
+fn spec(pieces: usize, after: &[usize]) -> StageSpec {
+    StageSpec {
         pieces,
         after: after.to_vec(),
     }
 }
 
-fn piece_at(stage: usize, piece: usize) -> PieceAt {
-    PieceAt { stage, piece }
+fn piece_at(stage: usize, piece: usize) -> PieceIndex {
+    PieceIndex { stage, piece }
 }
 
 /// Three stages in a row with two, three and one pieces.
@@ -20,7 +20,7 @@
 
 fn complete_ready(graph: &mut StageGraph) {
     for ready in graph.start_ready() {
-        graph.made(ready, format!("w/{}-{}", ready.stage, ready.piece));
+        graph.complete(ready, format!("w/{}-{}", ready.stage, ready.piece));
     }
 }
 
@@ -32,9 +32,9 @@
         graph.start_ready().is_empty(),
         "each piece is returned once"
     );
-    graph.made(piece_at(0, 0), "a".into());
+    graph.complete(piece_at(0, 0), "a".into());
     assert!(graph.start_ready().is_empty());
-    graph.made(piece_at(0, 1), "b".into());
+    graph.complete(piece_at(0, 1), "b".into());
     assert_eq!(
         graph.start_ready(),
         [piece_at(1, 0), piece_at(1, 1), piece_at(1, 2)]
@@ -63,15 +63,15 @@
 fn results_consumed_when_dependents_complete() {
     let mut graph = chain();
     complete_ready(&mut graph);
-    assert!(graph.take_spent().is_empty());
+    assert!(graph.take_consumed().is_empty());
     complete_ready(&mut graph);
-    assert_eq!(graph.take_spent(), ["w/0-0", "w/0-1"]);
+    assert_eq!(graph.take_consumed(), ["w/0-0", "w/0-1"]);
     assert!(
-        graph.take_spent().is_empty(),
+        graph.take_consumed().is_empty(),
         "each handle is returned once"
     );
     complete_ready(&mut graph);
-    assert_eq!(graph.take_spent().len(), 3);
+    assert_eq!(graph.take_consumed().len(), 3);
     assert_eq!(
         graph.final_inputs(),
         ["w/2-0"],
@@ -84,12 +84,12 @@
     let mut graph = chain();
     complete_ready(&mut graph);
     complete_ready(&mut graph);
-    graph.take_spent();
+    graph.take_consumed();
     let started = graph.start_ready();
     assert_eq!(started, [piece_at(2, 0)]);
     let inputs = graph.inputs_of(2);
-    graph.lose(piece_at(2, 0));
-    let mut lost = graph.lose_inputs(2, &inputs);
+    graph.reset(piece_at(2, 0));
+    let mut lost = graph.reset_inputs(2, &inputs);
     lost.sort();
     assert_eq!(
         lost,
@@ -114,13 +114,13 @@
     complete_ready(&mut graph);
     let inputs = graph.inputs_of(1);
     for piece in graph.start_ready() {
-        graph.lose(piece);
+        graph.reset(piece);
     }
-    graph.lose_inputs(1, &inputs);
+    graph.reset_inputs(1, &inputs);
     for piece in graph.start_ready() {
-        graph.made(piece, format!("again-{}", piece.piece));
+        graph.complete(piece, format!("again-{}", piece.piece));
     }
-    assert!(graph.lose_inputs(1, &inputs).is_empty());
+    assert!(graph.reset_inputs(1, &inputs).is_empty());
     assert_eq!(graph.inputs_of(1), ["again-0", "again-1"]);
 }
 
@@ -128,7 +128,9 @@
 fn ms_after_sums_stages_up_to_the_request() {
     let graph = chain();
     let ms_of = |stage: usize| [1, 20, 300][stage];
-    let after: Vec<u64> = (0..3).map(|stage| graph.ms_after(stage, &ms_of)).collect();
+    let after: Vec<u64> = (0..3)
+        .map(|stage| graph.critical_path_ms_after(stage, &ms_of))
+        .collect();
     assert_eq!(after, [320, 300, 0]);
 }
 
@@ -137,12 +139,12 @@
     // One final stage beside a chain of two stages.
     let mut graph = StageGraph::new(vec![spec(1, &[]), spec(2, &[]), spec(1, &[1])]);
     assert_eq!(graph.start_ready(), [piece_at(1, 0), piece_at(1, 1)]);
-    graph.made(piece_at(1, 0), "a".into());
+    graph.complete(piece_at(1, 0), "a".into());
     assert!(
         graph.start_ready().is_empty(),
         "the other final stage isn't ready"
     );
-    graph.made(piece_at(1, 1), "b".into());
+    graph.complete(piece_at(1, 1), "b".into());
     assert_eq!(graph.start_ready(), [piece_at(0, 0), piece_at(2, 0)]);
 }
 
--- a/crates/stages/tests/suite/limited.rs
+++ b/crates/stages/tests/suite/limited.rs
@@ -45,13 +45,13 @@
             let has_ended = *until <= now;
             if has_ended {
                 queue.end_call(*call, CallEnd::Answered, now);
-                queue.free(*worker, 1_000);
+                queue.release_memory(*worker, 1_000);
                 release_pending |= with_releases;
             }
             !has_ended
         });
         if let Some(worker) = calls.last().filter(|_| release_pending) {
-            let allowed = queue.begin_free(*worker, now);
+            let allowed = queue.try_start_release(*worker, now);
             releases += usize::from(allowed);
             release_pending = !allowed;
         }
--- a/crates/stages/tests/suite/random_graph.rs
+++ b/crates/stages/tests/suite/random_graph.rs
@@ -2,17 +2,17 @@
 
 use std::collections::{HashMap, HashSet};
 
-use hollowsail_stages::{PieceAt, StageGraph, StageSize};
+use hollowsail_stages::{PieceIndex, StageGraph, StageSpec};
 use proptest::prelude::*;
 
-fn sizes() -> impl Strategy<Value = Vec<StageSize>> {
+fn sizes() -> impl Strategy<Value = Vec<StageSpec>> {
     let stage = (1usize..4, any::<u8>());
     prop::collection::vec(stage, 1..5).prop_map(|stages| {
         let dependencies =
             |stage: usize, mask: u8| (0..stage).filter(|bit| mask & (1 << bit) != 0).collect();
         let sized = stages.into_iter().enumerate();
         sized
-            .map(|(stage, (pieces, mask))| StageSize {
+            .map(|(stage, (pieces, mask))| StageSpec {
                 pieces,
                 after: dependencies(stage, mask),
             })
@@ -23,7 +23,7 @@
 /// Workers that retain results until they are released or lost.
 #[derive(Default)]
 struct Workers {
-    retained: HashMap<String, PieceAt>,
+    retained: HashMap<String, PieceIndex>,
     completed: u32,
 }
 
@@ -35,7 +35,7 @@
     ) {
         let mut graph = StageGraph::new(sizes.clone());
         let mut workers = Workers::default();
-        let mut running: Vec<(PieceAt, Vec<String>)> = Vec::new();
+        let mut running: Vec<(PieceIndex, Vec<String>)> = Vec::new();
         let mut choices = choices.into_iter();
         while !graph.is_done() {
             for piece in graph.start_ready() {
@@ -59,13 +59,13 @@
                 workers.completed += 1;
                 let handle = format!("h{}", workers.completed);
                 workers.retained.insert(handle.clone(), piece);
-                graph.made(piece, handle);
-                for consumed in graph.take_spent() {
+                graph.complete(piece, handle);
+                for consumed in graph.take_consumed() {
                     workers.retained.remove(&consumed);
                 }
             } else {
-                graph.lose(piece);
-                graph.lose_inputs(piece.stage, &inputs);
+                graph.reset(piece);
+                graph.reset_inputs(piece.stage, &inputs);
             }
         }
         let inputs = graph.final_inputs();
--- a/crates/stages/tests/suite/random_queue.rs
+++ b/crates/stages/tests/suite/random_queue.rs
@@ -98,13 +98,13 @@
         }
         // Without further faults and with a new worker, every piece completes.
         for (worker, bytes) in world.unreleased.drain(..) {
-            queue.free(worker, bytes);
+            queue.release_memory(worker, bytes);
         }
         while let Some(call) = world.running.pop() {
             end_call(&mut queue, &mut world, call, CallEnd::Answered);
         }
         for (worker, bytes) in world.unreleased.drain(..) {
-            queue.free(worker, bytes);
+            queue.release_memory(worker, bytes);
         }
         queue.add_worker(HallKey(0));
         for _ in 0..3_000 {
@@ -113,7 +113,7 @@
             while let Some(call) = queue.next_call(world.now) {
                 end_call(&mut queue, &mut world, call, CallEnd::Answered);
                 for (worker, bytes) in world.unreleased.drain(..) {
-                    queue.free(worker, bytes);
+                    queue.release_memory(worker, bytes);
                 }
             }
             if world.unfinished.is_empty() {
@@ -180,7 +180,7 @@
         Event::Free { index } => {
             if !world.unreleased.is_empty() {
                 let (worker, bytes) = world.unreleased.swap_remove(index % world.unreleased.len());
-                queue.free(worker, bytes);
+                queue.release_memory(worker, bytes);
             }
         }
         Event::AddWorker { hall } => world.workers.push(queue.add_worker(HallKey(hall))),
--- a/crates/standins/src/targets.rs
+++ b/crates/standins/src/targets.rs
@@ -13,7 +13,7 @@
 use actix_web::dev::ServerHandle;
 use actix_web::http::StatusCode;
 use actix_web::{web, App, HttpRequest, HttpResponse, HttpServer};
-use hollowsail_clients::target::{Call, LEAVING_HEADER, LOAD_HEADER, ORGANISATION_HEADER};
+use hollowsail_clients::target::{Call, DRAINING_HEADER, LOAD_HEADER, ORGANISATION_HEADER};
 use hollowsail_config::Deployment;
 use tokio::sync::Semaphore;
 
@@ -179,7 +179,7 @@
 fn refuse(state: &TargetState, faults: &TargetFaults) -> Option<HttpResponse> {
     if faults.leaving {
         let refusal = HttpResponse::ServiceUnavailable()
-            .insert_header((LEAVING_HEADER, "1"))
+            .insert_header((DRAINING_HEADER, "1"))
             .finish();
         return Some(refusal);
     }
--- a/crates/targets/src/lib.rs
+++ b/crates/targets/src/lib.rs
@@ -4,14 +4,14 @@
 //! [`TargetTable`] takes the targets that may receive new work and keeps one [`Target`] for
 //! each incarnation, so a restarted target begins with fresh state, also under the same id.
 //! [`TargetReports`] keeps what incarnations report of themselves, which outlives their
-//! records. [`Target::has_ended`] distinguishes a crashed target from a broken connection.
+//! records. [`Target::has_crashed`] distinguishes a crashed target from a broken connection.
 
 mod limit_report;
 mod reports;
 mod table;
 mod target;
 
-pub use limit_report::LimitWord;
+pub use limit_report::LimitReport;
 pub use reports::TargetReports;
 pub use table::{TargetTable, UsableTarget};
 pub use target::{InFlight, Target};
--- a/crates/targets/src/limit_report.rs
+++ b/crates/targets/src/limit_report.rs
@@ -19,41 +19,41 @@
 
 /// The limit that one answer reported.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct LimitWord {
+pub struct LimitReport {
     /// Requests per second from all entries together; `None` for no limit.
     pub per_s: Option<f64>,
     /// When the answered request was sent: the report was written no earlier.
-    pub asked: Millis,
+    pub sent_at: Millis,
     /// When the answer was received: the report was written no later.
-    pub heard: Millis,
+    pub received_at: Millis,
 }
 
-impl LimitWord {
+impl LimitReport {
     /// Requests per second that it allows; infinite without a limit.
     fn rate(&self) -> f64 {
         self.per_s.unwrap_or(f64::INFINITY)
     }
 
     /// True when it was certainly written after `other`.
-    fn is_newer_than(&self, other: &LimitWord) -> bool {
-        self.asked >= other.heard
+    fn is_newer_than(&self, other: &LimitReport) -> bool {
+        self.sent_at >= other.received_at
     }
 
     /// True while it is sent again to entries that may not have received it.
     pub(crate) fn is_repeated(&self, now: Millis) -> bool {
-        self.per_s.is_some() || now < self.heard + LIMIT_END_REPEAT_MS
+        self.per_s.is_some() || now < self.received_at + LIMIT_END_REPEAT_MS
     }
 }
 
 /// The reports of one incarnation that may be the newest, one for each limit, strictest first.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct LimitReports {
-    reports: Vec<LimitWord>,
+    reports: Vec<LimitReport>,
 }
 
 impl LimitReports {
     /// Adds a report. Returns true when the limit in force changed.
-    pub fn add(&mut self, report: LimitWord) -> bool {
+    pub fn add(&mut self, report: LimitReport) -> bool {
         let before = self.limit();
         if self
             .reports
@@ -66,10 +66,10 @@
         let mut same = self.reports.iter_mut();
         match same.find(|known| known.per_s == report.per_s) {
             Some(known) => {
-                known.asked = known.asked.max(report.asked);
+                known.sent_at = known.sent_at.max(report.sent_at);
                 // The end of a limit is repeated and kept from its first report on.
                 if known.per_s.is_some() {
-                    known.heard = known.heard.max(report.heard);
+                    known.received_at = known.received_at.max(report.received_at);
                 }
             }
             None => self.reports.push(report),
@@ -80,7 +80,7 @@
     }
 
     /// The report in force; `None` before the first.
-    pub fn current(&self) -> Option<LimitWord> {
+    pub fn current(&self) -> Option<LimitReport> {
         self.reports.first().copied()
     }
 
@@ -91,8 +91,8 @@
 
     /// Drops the end of a limit after its retention time.
     pub fn expire(&mut self, now: Millis) {
-        let is_expired = |report: &LimitWord| {
-            report.per_s.is_none() && now >= report.heard + LIMIT_END_RETENTION_MS
+        let is_expired = |report: &LimitReport| {
+            report.per_s.is_none() && now >= report.received_at + LIMIT_END_RETENTION_MS
         };
         if self.current().as_ref().is_some_and(is_expired) {
             self.reports.clear();
--- a/crates/targets/src/reports.rs
+++ b/crates/targets/src/reports.rs
@@ -5,7 +5,7 @@
 //! | draining | the target's record, its own answer, a peer that received either | every record of the same or an earlier incarnation, also a later record that says ready | the incarnation ends |
 //! | crashed | an answer of another incarnation at its address, a peer that received one | the same | the same |
 //! | backing off | an answer that rejects work; for this entry alone | a shorter backoff | the backoff is over |
-//! | rate limit for all entries together | the target's own answer, a peer that received one | see [`LimitWord`] | the incarnation ends, or an answer reports no limit |
+//! | rate limit for all entries together | the target's own answer, a peer that received one | see [`LimitReport`] | the incarnation ends, or an answer reports no limit |
 //!
 //! Reports are kept by target id and incarnation, not by record: a record may expire while the
 //! store is unavailable and reappear unchanged.
@@ -15,7 +15,7 @@
 use hollowsail_platform::targets::Incarnation;
 use hollowsail_routing::Millis;
 
-use crate::limit_report::{LimitReports, LimitWord};
+use crate::limit_report::{LimitReport, LimitReports};
 
 /// How long reports of an unlisted target are kept, in milliseconds. Exceeds both the time
 /// that a draining target still serves and a store outage.
@@ -76,7 +76,7 @@
         &mut self,
         now: Millis,
         incarnation: &Incarnation,
-        limit: LimitWord,
+        limit: LimitReport,
     ) -> bool {
         // Most answers come from targets that never reported a limit: nothing is stored.
         let is_redundant = limit.per_s.is_none() && self.limit_report(incarnation).is_none();
@@ -84,9 +84,9 @@
     }
 
     /// The limit report in force for an incarnation, if it reported a limit recently.
-    pub fn limit_report(&self, incarnation: &Incarnation) -> Option<LimitWord> {
+    pub fn limit_report(&self, incarnation: &Incarnation) -> Option<LimitReport> {
         let report = self.reports.get(&incarnation.id)?;
-        let report = (report.started == incarnation.born).then_some(report)?;
+        let report = (report.started == incarnation.started).then_some(report)?;
         report.limit.current()
     }
 
@@ -96,7 +96,7 @@
     }
 
     /// The incarnations with a limit in force, with its report.
-    pub fn limited(&self) -> impl Iterator<Item = (Incarnation, LimitWord)> + '_ {
+    pub fn limited(&self) -> impl Iterator<Item = (Incarnation, LimitReport)> + '_ {
         self.reports.iter().filter_map(|(id, report)| {
             let limit = report.limit.current()?;
             limit.per_s?;
@@ -104,7 +104,7 @@
             Some((
                 Incarnation {
                     id,
-                    born: report.started,
+                    started: report.started,
                 },
                 limit,
             ))
@@ -119,7 +119,7 @@
         update: impl FnOnce(&mut TargetReport) -> bool,
     ) -> bool {
         let empty = TargetReport {
-            started: incarnation.born,
+            started: incarnation.started,
             is_draining: false,
             backoff_until: 0,
             updated: now,
@@ -128,10 +128,10 @@
         };
         let report = self.reports.entry(incarnation.id.clone());
         let report = report.or_insert_with(|| empty.clone());
-        if incarnation.born < report.started {
+        if incarnation.started < report.started {
             return false;
         }
-        if incarnation.born > report.started {
+        if incarnation.started > report.started {
             *report = empty;
         }
         report.updated = now;
@@ -142,9 +142,9 @@
     /// reported.
     pub fn is_draining(&self, incarnation: &Incarnation) -> bool {
         let report = self.reports.get(&incarnation.id);
-        report.is_some_and(|report| match report.started == incarnation.born {
+        report.is_some_and(|report| match report.started == incarnation.started {
             true => report.is_draining,
-            false => incarnation.born < report.started,
+            false => incarnation.started < report.started,
         })
     }
 
@@ -153,22 +153,22 @@
     pub fn mark_broadcast(&mut self, incarnation: &Incarnation) -> bool {
         let report = self.reports.get_mut(&incarnation.id);
         let report =
-            report.filter(|report| report.started == incarnation.born && report.is_draining);
+            report.filter(|report| report.started == incarnation.started && report.is_draining);
         report.is_some_and(|report| !std::mem::replace(&mut report.is_broadcast, true))
     }
 
     /// False when no target is backing off; true doesn't prove that one is.
-    pub fn may_have_backoffs(&self, now: Millis) -> bool {
+    pub fn any_backing_off(&self, now: Millis) -> bool {
         now < self.last_backoff_end
     }
 
     /// End of an incarnation's backoff from this entry; `None` when there is none now.
     pub fn backoff_until(&self, now: Millis, incarnation: &Incarnation) -> Option<Millis> {
-        if !self.may_have_backoffs(now) {
+        if !self.any_backing_off(now) {
             return None;
         }
         let report = self.reports.get(&incarnation.id)?;
-        let is_backing_off = report.started == incarnation.born && now < report.backoff_until;
+        let is_backing_off = report.started == incarnation.started && now < report.backoff_until;
         is_backing_off.then_some(report.backoff_until)
     }
 
--- a/crates/targets/src/table.rs
+++ b/crates/targets/src/table.rs
@@ -10,9 +10,9 @@
 
 use hollowsail_platform::deployment::{Deployment, Service, ServiceKey};
 use hollowsail_platform::targets::{Incarnation, TargetRecord};
-use hollowsail_routing::{Cold, HealthRules, Millis, TargetHealth};
+use hollowsail_routing::{HealthRules, Millis, TargetHealth, WarmUp};
 
-use crate::limit_report::LimitWord;
+use crate::limit_report::LimitReport;
 use crate::reports::TargetReports;
 use crate::target::Target;
 
@@ -21,7 +21,7 @@
 pub struct UsableTarget {
     pub record: Arc<TargetRecord>,
     /// End of its warm-up, if its record has one.
-    pub cold_until: Option<Millis>,
+    pub warm_up_until: Option<Millis>,
 }
 
 /// True when both records describe the same endpoint, so that connections and state are kept.
@@ -38,7 +38,7 @@
 struct ServiceRules {
     name: String,
     max_connections: u32,
-    cold_per_s: Option<f64>,
+    warm_up_per_s: Option<f64>,
 }
 
 impl ServiceRules {
@@ -46,7 +46,7 @@
         ServiceRules {
             name: service.name.clone(),
             max_connections: service.max_connections,
-            cold_per_s: service.cold_per_s,
+            warm_up_per_s: service.warm_up_per_s,
         }
     }
 }
@@ -91,7 +91,7 @@
                 let (known, listed) = (known.next(), listed.next());
                 let is_same = known.zip(listed).is_some_and(|(known, listed)| {
                     Arc::ptr_eq(&known.record, &listed.record)
-                        && known.cold_until == listed.cold_until
+                        && known.warm_up_until == listed.warm_up_until
                 });
                 changes.extend(listed.filter(|_| !is_same).map(Change::Listed));
             }
@@ -120,7 +120,7 @@
         let mut changed = BTreeSet::new();
         for incarnation in draining {
             let known = self.get(incarnation);
-            if self.says_leaving(now, incarnation) {
+            if self.record_draining(now, incarnation) {
                 changed.extend(
                     known.and_then(|known| deployment.service_named(&known.record.service)),
                 );
@@ -160,7 +160,10 @@
         listed: &UsableTarget,
         deployment: &Deployment,
     ) -> [Option<ServiceKey>; 2] {
-        let UsableTarget { record, cold_until } = listed;
+        let UsableTarget {
+            record,
+            warm_up_until,
+        } = listed;
         let known = self.by_id.get(listed.id()).cloned();
         let previous = self.remove(listed.id());
         let key = deployment.service_named(&record.service);
@@ -172,10 +175,10 @@
             known.incarnation() == &record.incarnation && is_same_endpoint(&known.record, record)
         });
         let target = unchanged.unwrap_or_else(|| Target::new(record.clone(), service));
-        let warm_up = cold_until.zip(service.cold_per_s);
+        let warm_up = warm_up_until.zip(service.warm_up_per_s);
         target
-            .cold
-            .set(warm_up.map(|(until, per_s)| Cold { until, per_s }));
+            .warm_up
+            .set(warm_up.map(|(until, per_s)| WarmUp { until, per_s }));
         target.limit.set(self.reports.limit(&record.incarnation));
         let targets = &mut self.by_service[usize::from(key.0)];
         let index = targets.partition_point(|known| known.incarnation().id.as_str() < listed.id());
@@ -200,7 +203,7 @@
 
     /// Records that an incarnation is draining, even if its record says ready. Returns true
     /// when that wasn't known.
-    pub fn says_leaving(&mut self, now: Millis, incarnation: &Incarnation) -> bool {
+    pub fn record_draining(&mut self, now: Millis, incarnation: &Incarnation) -> bool {
         let is_new = self.reports.record_draining(now, incarnation);
         let known = self.by_id.get(&incarnation.id);
         if known.is_some_and(|known| self.reports.is_draining(known.incarnation())) {
@@ -211,7 +214,7 @@
 
     /// Records that an incarnation requested a backoff from this entry. Returns true when it
     /// ends later than the one known before.
-    pub fn asks_rest(
+    pub fn record_backoff(
         &mut self,
         now: Millis,
         incarnation: &Incarnation,
@@ -222,11 +225,11 @@
 
     /// Records the limit that an incarnation reported, or that it reported none. Returns true
     /// when the limit in force changed.
-    pub fn names_limit(
+    pub fn record_limit(
         &mut self,
         now: Millis,
         incarnation: &Incarnation,
-        report: LimitWord,
+        report: LimitReport,
     ) -> bool {
         let is_changed = self.reports.record_limit(now, incarnation, report);
         if is_changed {
@@ -240,35 +243,35 @@
 
     /// The limit report in force for a target, when it is due to be sent again to the entry
     /// that dispatches to it for all entries.
-    pub fn limit_to_repeat(&self, now: Millis, target: &Target) -> Option<LimitWord> {
+    pub fn limit_to_repeat(&self, now: Millis, target: &Target) -> Option<LimitReport> {
         let report = self.reports.limit_report(target.incarnation())?;
         (report.is_repeated(now) && target.take_limit_repeat(now)).then_some(report)
     }
 
     /// The limit report in force for an incarnation, if it reported a limit recently.
-    pub fn limit_word(&self, incarnation: &Incarnation) -> Option<LimitWord> {
+    pub fn limit_report(&self, incarnation: &Incarnation) -> Option<LimitReport> {
         self.reports.limit_report(incarnation)
     }
 
     /// The incarnations with a limit in force, with its report.
-    pub fn limited(&self) -> Vec<(Incarnation, LimitWord)> {
+    pub fn limited(&self) -> Vec<(Incarnation, LimitReport)> {
         self.reports.limited().collect()
     }
 
     /// Marks a draining incarnation as broadcast to the other entries. Returns true the first
     /// time, and false for one that isn't draining.
-    pub fn pass_on(&mut self, incarnation: &Incarnation) -> bool {
+    pub fn mark_broadcast(&mut self, incarnation: &Incarnation) -> bool {
         self.reports.mark_broadcast(incarnation)
     }
 
     /// End of an incarnation's backoff from this entry; `None` when there is none now.
-    pub fn rests_until(&self, now: Millis, incarnation: &Incarnation) -> Option<Millis> {
+    pub fn backoff_until(&self, now: Millis, incarnation: &Incarnation) -> Option<Millis> {
         self.reports.backoff_until(now, incarnation)
     }
 
     /// False when no target is backing off; true doesn't prove that one is.
-    pub fn anyone_rests(&self, now: Millis) -> bool {
-        self.reports.may_have_backoffs(now)
+    pub fn any_backing_off(&self, now: Millis) -> bool {
+        self.reports.any_backing_off(now)
     }
 
     /// A usable target by its incarnation.
--- a/crates/targets/src/target.rs
+++ b/crates/targets/src/target.rs
@@ -8,10 +8,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hollowsail_connect::{EndCheck, Pool, PoolRules};
+use hollowsail_connect::{CrashCheck, Pool, PoolRules};
 use hollowsail_platform::deployment::Service;
 use hollowsail_platform::targets::{Incarnation, TargetRecord};
-use hollowsail_routing::{Cold, ColdGate, Millis, Observation, TargetHealth};
+use hollowsail_routing::{Millis, Observation, TargetHealth, WarmUp, WarmUpGate};
 
 /// Connect timeout. Below the retransmission of a lost SYN, which takes seconds: another
 /// target answers sooner.
@@ -34,51 +34,51 @@
     /// Number of this entry's requests in flight.
     pub in_flight: Cell<u32>,
     /// Prompt tokens of this entry's requests whose prefill is pending.
-    pub unread_tokens: Cell<u64>,
+    pub pending_prefill_tokens: Cell<u64>,
     pub health: RefCell<TargetHealth>,
     /// Set while it is warming up.
-    pub cold: Cell<Option<Cold>>,
+    pub warm_up: Cell<Option<WarmUp>>,
     /// Its limit in requests per second from all entries together, if it reported one.
     pub limit: Cell<Option<f64>>,
     /// When this entry last repeated the limit to the entry that dispatches for all.
     limit_repeated: Cell<Option<Millis>>,
     /// Paces the sends of this entry during the warm-up.
-    gate: Cell<ColdGate>,
-    crash_check: EndCheck,
+    gate: Cell<WarmUpGate>,
+    crash_check: CrashCheck,
 }
 
 /// Counts a request at a target until it is dropped.
 pub struct InFlight {
     target: Rc<Target>,
-    unread_tokens: u64,
+    pending_prefill_tokens: u64,
 }
 
 impl Target {
     /// Creates an incarnation without connections, requests or observations.
     pub fn new(record: Arc<TargetRecord>, service: &Service) -> Rc<Self> {
         let rules = PoolRules {
-            dial_within: DIAL_TIMEOUT,
+            dial_timeout: DIAL_TIMEOUT,
             max_idle: (service.max_connections / SHARING_ENTRIES).clamp(1, MAX_IDLE) as usize,
-            idle_for: IDLE_TIMEOUT,
+            idle_timeout: IDLE_TIMEOUT,
         };
         Rc::new(Target {
             pool: Pool::new(record.addr, rules),
             record,
             in_flight: Cell::new(0),
-            unread_tokens: Cell::new(0),
+            pending_prefill_tokens: Cell::new(0),
             health: RefCell::default(),
-            cold: Cell::default(),
+            warm_up: Cell::default(),
             limit: Cell::default(),
             limit_repeated: Cell::default(),
             gate: Cell::default(),
-            crash_check: EndCheck::default(),
+            crash_check: CrashCheck::default(),
         })
     }
 
     /// Checks whether its process is gone after one of its answers broke off. Takes one or two
     /// round trips, and at most twice [`hollowsail_connect::CHECK_TIMEOUT`].
-    pub async fn has_ended(&self) -> bool {
-        self.crash_check.has_ended(self.record.addr).await
+    pub async fn has_crashed(&self) -> bool {
+        self.crash_check.has_crashed(self.record.addr).await
     }
 
     pub fn incarnation(&self) -> &Incarnation {
@@ -86,24 +86,24 @@
     }
 
     /// True when this entry may send to it now: always after the warm-up, and during it no
-    /// more often than `share` of the rate allowed. See [`ColdGate::meet`] for `phase`.
-    pub fn may_get_one(&self, now: Millis, share: f64, phase: f64) -> bool {
+    /// more often than `share` of the rate allowed. See [`WarmUpGate::update`] for `phase`.
+    pub fn may_send(&self, now: Millis, share: f64, phase: f64) -> bool {
         let mut gate = self.gate.get();
-        gate.meet(now, self.cold.get(), share, phase);
+        gate.update(now, self.warm_up.get(), share, phase);
         self.gate.set(gate);
         gate.is_open(now)
     }
 
     /// Counts a send of this entry, which has this share of the rate allowed in the warm-up.
-    pub fn sent_while_cold(&self, now: Millis, share: f64) {
+    pub fn count_warm_up_send(&self, now: Millis, share: f64) {
         let mut gate = self.gate.get();
         gate.sent(now, share);
         self.gate.set(gate);
     }
 
     /// True while a warm-up or a reported limit bounds its rate from all entries together.
-    pub fn is_rationed(&self) -> bool {
-        self.limit.get().is_some() || self.cold.get().is_some()
+    pub fn is_rate_limited(&self) -> bool {
+        self.limit.get().is_some() || self.warm_up.get().is_some()
     }
 
     /// True when its limit is due to be repeated; starts the next interval then.
@@ -122,13 +122,13 @@
     }
 
     /// Counts a request and its prompt tokens to prefill until the guard is dropped.
-    pub fn enter(self: &Rc<Self>, unread_tokens: u64) -> InFlight {
+    pub fn enter(self: &Rc<Self>, pending_prefill_tokens: u64) -> InFlight {
         self.in_flight.set(self.in_flight.get() + 1);
-        self.unread_tokens
-            .set(self.unread_tokens.get() + unread_tokens);
+        self.pending_prefill_tokens
+            .set(self.pending_prefill_tokens.get() + pending_prefill_tokens);
         InFlight {
             target: self.clone(),
-            unread_tokens,
+            pending_prefill_tokens,
         }
     }
 
@@ -140,16 +140,20 @@
 
 impl InFlight {
     /// Releases the prompt tokens once the prefill is done.
-    pub fn prompt_read(&mut self) {
-        let unread = std::mem::take(&mut self.unread_tokens);
-        let left = self.target.unread_tokens.get().saturating_sub(unread);
-        self.target.unread_tokens.set(left);
+    pub fn prefill_done(&mut self) {
+        let unread = std::mem::take(&mut self.pending_prefill_tokens);
+        let left = self
+            .target
+            .pending_prefill_tokens
+            .get()
+            .saturating_sub(unread);
+        self.target.pending_prefill_tokens.set(left);
     }
 }
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        self.prompt_read();
+        self.prefill_done();
         let left = self.target.in_flight.get().saturating_sub(1);
         self.target.in_flight.set(left);
     }
--- a/crates/targets/tests/suite/limit_reports.rs
+++ b/crates/targets/tests/suite/limit_reports.rs
@@ -1,21 +1,21 @@
 //! Limits that targets report, received by any path and in any order.
 
 use hollowsail_platform::targets::Incarnation;
-use hollowsail_targets::{LimitWord, TargetReports};
+use hollowsail_targets::{LimitReport, TargetReports};
 use proptest::prelude::*;
 
-fn incarnation(born: u64) -> Incarnation {
+fn incarnation(started: u64) -> Incarnation {
     Incarnation {
         id: "i-1".to_string(),
-        born,
+        started,
     }
 }
 
-fn report(per_s: Option<f64>, sent: u64, received: u64) -> LimitWord {
-    LimitWord {
+fn report(per_s: Option<f64>, sent: u64, received: u64) -> LimitReport {
+    LimitReport {
         per_s,
-        asked: sent,
-        heard: received,
+        sent_at: sent,
+        received_at: received,
     }
 }
 
--- a/crates/targets/tests/suite/main.rs
+++ b/crates/targets/tests/suite/main.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hollowsail_connect::EndCheck;
+use hollowsail_connect::CrashCheck;
 use hollowsail_platform::deployment::Deployment;
 use hollowsail_platform::targets::{Incarnation, TargetRecord};
 use hollowsail_platform_standins::target::stream_head;
@@ -27,11 +27,11 @@
     Deployment::decode(&json.bytes()).expect("the deployment decodes")
 }
 
-fn usable(id: &str, born: u64, service: &str) -> UsableTarget {
+fn usable(id: &str, started: u64, service: &str) -> UsableTarget {
     let record = TargetRecord {
         incarnation: Incarnation {
             id: id.to_string(),
-            born,
+            started,
         },
         service: service.to_string(),
         addr: SocketAddr::from(([127, 0, 0, 1], 9)),
@@ -43,7 +43,7 @@
     };
     UsableTarget {
         record: Arc::new(record),
-        cold_until: None,
+        warm_up_until: None,
     }
 }
 
@@ -74,7 +74,10 @@
     table.take(0, &deployment, &[usable("i-1", 2_000, "plain")], &[]);
     let restarted = only(&table, &deployment);
     assert_eq!(
-        (restarted.in_flight.get(), restarted.unread_tokens.get()),
+        (
+            restarted.in_flight.get(),
+            restarted.pending_prefill_tokens.get()
+        ),
         (0, 0)
     );
     let service = deployment
@@ -107,8 +110,8 @@
     let mut table = TargetTable::default();
     let ids: Vec<String> = (0..770).map(|id| format!("i-{id}")).collect();
     let mut seen = Vec::new();
-    for born in 1..=13 {
-        let incarnations: Vec<_> = ids.iter().map(|id| usable(id, born, "plain")).collect();
+    for started in 1..=13 {
+        let incarnations: Vec<_> = ids.iter().map(|id| usable(id, started, "plain")).collect();
         table.take(0, &deployment, &incarnations, &[]);
         let first = table
             .get(&incarnations[0].record.incarnation)
@@ -125,7 +128,7 @@
 async fn refused_connection_means_crashed() {
     let target = TargetStandin::start(|seen| vec![Step::Write(stream_head(seen)), Step::End]).await;
     assert!(
-        !EndCheck::default().has_ended(target.addr).await,
+        !CrashCheck::default().has_crashed(target.addr).await,
         "it is running"
     );
     let mut caller = TcpStream::connect(target.addr).await.expect("it accepts");
@@ -134,7 +137,7 @@
     let mut answer = Vec::new();
     // The answer breaks off.
     let _ended = caller.read_to_end(&mut answer).await;
-    assert!(EndCheck::default().has_ended(target.addr).await);
+    assert!(CrashCheck::default().has_crashed(target.addr).await);
 }
 
 /// Guards against missing a crash when an exiting process still accepts one connection.
@@ -147,7 +150,7 @@
         drop(listener);
         drop(taken);
     });
-    assert!(EndCheck::default().has_ended(addr).await);
+    assert!(CrashCheck::default().has_crashed(addr).await);
     ending.await.expect("it accepted a connection");
 }
 
@@ -157,14 +160,14 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("it binds");
     let addr = listener.local_addr().expect("it is bound");
     actix_rt::spawn(async move { while listener.accept().await.is_ok() {} });
-    assert!(!EndCheck::default().has_ended(addr).await);
+    assert!(!CrashCheck::default().has_crashed(addr).await);
 }
 
 #[actix_rt::test]
 async fn concurrent_crash_checks_share_one_probe() {
     let target = TargetStandin::answering("alive", Duration::ZERO).await;
-    let check = EndCheck::default();
-    let all = (0..20).map(|_| check.has_ended(target.addr));
+    let check = CrashCheck::default();
+    let all = (0..20).map(|_| check.has_crashed(target.addr));
     let all = futures_util::future::join_all(all).await;
     assert!(all.iter().all(|ended| !ended));
     assert_eq!(target.connections(), 1);
--- a/crates/targets/tests/suite/reports.rs
+++ b/crates/targets/tests/suite/reports.rs
@@ -6,10 +6,10 @@
 
 const HOUR_MS: u64 = 3_600_000;
 
-fn incarnation(id: &str, born: u64) -> Incarnation {
+fn incarnation(id: &str, started: u64) -> Incarnation {
     Incarnation {
         id: id.to_string(),
-        born,
+        started,
     }
 }
 
@@ -92,7 +92,7 @@
 fn event() -> impl Strategy<Value = (u64, Event)> {
     let event = prop_oneof![
         (0..4u64).prop_map(Event::Draining),
-        (0..4u64, 0..3_000u64).prop_map(|(born, backoff)| Event::Backoff(born, backoff)),
+        (0..4u64, 0..3_000u64).prop_map(|(started, backoff)| Event::Backoff(started, backoff)),
         Just(Event::Expire),
     ];
     (0..2_000u64, event)
@@ -109,25 +109,25 @@
         for (wait, event) in events {
             now += wait;
             match event {
-                Event::Draining(born) => {
-                    reports.record_draining(now, &incarnation("i-1", born));
-                    draining.push(born);
-                    newest = newest.max(Some(born));
+                Event::Draining(started) => {
+                    reports.record_draining(now, &incarnation("i-1", started));
+                    draining.push(started);
+                    newest = newest.max(Some(started));
                 }
-                Event::Backoff(born, backoff) => {
-                    reports.record_backoff(now, &incarnation("i-1", born), backoff);
-                    backoffs.push((born, now + backoff));
-                    newest = newest.max(Some(born));
+                Event::Backoff(started, backoff) => {
+                    reports.record_backoff(now, &incarnation("i-1", started), backoff);
+                    backoffs.push((started, now + backoff));
+                    newest = newest.max(Some(started));
                 }
                 Event::Expire => reports.expire(now, |_| false),
             }
-            for born in 0..4 {
-                let target = incarnation("i-1", born);
-                let is_draining = draining.contains(&born) || Some(born) < newest;
+            for started in 0..4 {
+                let target = incarnation("i-1", started);
+                let is_draining = draining.contains(&started) || Some(started) < newest;
                 prop_assert_eq!(reports.is_draining(&target), is_draining);
-                let requested = backoffs.iter().filter(|(of, _)| *of == born);
+                let requested = backoffs.iter().filter(|(of, _)| *of == started);
                 let until = requested.map(|(_, until)| *until).max();
-                let current = until.filter(|until| now < *until && Some(born) == newest);
+                let current = until.filter(|until| now < *until && Some(started) == newest);
                 prop_assert_eq!(reports.backoff_until(now, &target), current);
             }
         }
--- a/crates/targets/tests/suite/table.rs
+++ b/crates/targets/tests/suite/table.rs
@@ -26,8 +26,8 @@
 /// The listed targets in the order of their ids; unchanged ones share their records.
 fn records(listed: &Listed, before: &[UsableTarget]) -> Vec<UsableTarget> {
     let records = listed.iter().enumerate().filter_map(|(index, target)| {
-        let (born, service) = (*target)?;
-        let new = usable(&format!("i-{index:03}"), born, SERVICES[service]);
+        let (started, service) = (*target)?;
+        let new = usable(&format!("i-{index:03}"), started, SERVICES[service]);
         let same = before.iter().find(|known| known.record == new.record);
         Some(same.cloned().unwrap_or(new))
     });
@@ -40,7 +40,7 @@
         let targets = key.map_or(&[][..], |key| table.of(key));
         let incarnations = targets.iter().map(|target| target.incarnation().clone());
         incarnations
-            .map(|incarnation| (incarnation.id, incarnation.born))
+            .map(|incarnation| (incarnation.id, incarnation.started))
             .collect()
     });
     services.collect()
--- a/tests/suite/output.rs
+++ b/tests/suite/output.rs
@@ -41,7 +41,7 @@
         ErrorKind::TargetFailed,
         "stage confirm may have run: cut".to_string(),
     );
-    let answer = AnswerBody::ended("r", stages(), false, Err(failed));
+    let answer = AnswerBody::from_stages("r", stages(), false, Err(failed));
     expect![[r#"
         pay: unknown
           target_failed: stage confirm may have run: cut; see the stages' status for what ran
@@ -51,7 +51,7 @@
     .assert_eq(&captured(|cx| call::print(cx, "pay", &answer)));
     let mut ran = stages();
     ran[1].status = StageStatus::Ran;
-    let whole = AnswerBody::ended("r", ran, false, Ok(json!({ "text": "x".repeat(500) })));
+    let whole = AnswerBody::from_stages("r", ran, false, Ok(json!({ "text": "x".repeat(500) })));
     expect![[r#"
         pay: whole
           encode     ran, 1 attempt(s), 7 ms
