--- a/crates/bench/src/commands/platform.rs
+++ b/crates/bench/src/commands/platform.rs
@@ -24,11 +24,11 @@
         let events = Events::new(|line| println!("{line}"));
         let emulator = Emulator::start(site, events).await;
         let store = emulator.store_addr().to_string();
-        emulator.account.events.tell(&Event::Ready { store });
+        emulator.account.events.emit(&Event::Ready { store });
         let mut ignored = Vec::new();
         if let Err(err) = tokio::io::stdin().read_to_end(&mut ignored).await {
             log::warn!("cannot read standard input: {err}");
         }
-        Ok(emulator.account.broken().is_empty())
+        Ok(emulator.account.broken_promises().is_empty())
     }
 }
--- a/crates/bench/src/faults.rs
+++ b/crates/bench/src/faults.rs
@@ -243,7 +243,7 @@
             targets
         }
         FaultKind::Leaving { targets } => {
-            faults.leaving = true;
+            faults.draining = true;
             targets
         }
         FaultKind::Cut { targets } => {
--- a/crates/bench/src/history.rs
+++ b/crates/bench/src/history.rs
@@ -169,7 +169,7 @@
     let org = deployment.find_organisation(&record.arrival.org)?;
     let pipeline = record.arrival.pipeline;
     let input = record.input.clone();
-    Some(output::of_pipeline(deployment, org, pipeline, input))
+    Some(output::pipeline_output(deployment, org, pipeline, input))
 }
 
 /// Samples the configuration revision of each entry during a run.
--- a/crates/bench/src/soak/callers.rs
+++ b/crates/bench/src/soak/callers.rs
@@ -139,7 +139,7 @@
         let (entry, mut connection) = self.connection.take()?;
         self.requests += 1;
         let id = format!("{:08x}{:08x}", self.number + 1, self.requests);
-        let request = CallerRequest::on(route, id.clone());
+        let request = CallerRequest::for_route(route, id.clone());
         let sent = Instant::now();
         let outcome = tokio::time::timeout(timeout, connection.call(&request)).await;
         let outcome = match outcome {
@@ -186,7 +186,7 @@
 pub async fn check_added_route(plan: &SoakPlan, fleet: &Fleet) -> Vec<String> {
     let mut failures = Vec::new();
     for (entry, address) in fleet.ready() {
-        let request = CallerRequest::on(&plan.added_route(), format!("added-{entry}"));
+        let request = CallerRequest::for_route(&plan.added_route(), format!("added-{entry}"));
         let outcome = match Connection::open(address).await {
             Ok(mut connection) => connection.call(&request).await,
             Err(err) => Outcome::Unknown {
--- a/crates/bench/src/soak/processes.rs
+++ b/crates/bench/src/soak/processes.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use hollowsail_platform_emulator::entry::{self, EntryPlace, GRACE_S, SETTINGS_VARIABLE};
+use hollowsail_platform_emulator::entry::{self, EntryConfig, GRACE_S, SETTINGS_VARIABLE};
 use hollowsail_platform_emulator::{caller, Site};
 use rustix::process::{kill_process, Pid, Signal};
 use serde::Deserialize;
@@ -58,7 +58,7 @@
 
 /// A gateway process and its addresses and settings.
 struct Gateway {
-    place: EntryPlace,
+    config: EntryConfig,
     child: RefCell<Option<Child>>,
     failed_checks: Cell<u32>,
     starts: Cell<u32>,
@@ -100,9 +100,9 @@
         let Site {
             halls, drain_ms, ..
         } = &plan.site;
-        let places = entry::places(options.entries, halls, store, *drain_ms);
+        let configs = entry::configs(options.entries, halls, store, *drain_ms);
         let fleet = Fleet {
-            gateways: places.into_iter().map(Gateway::new).collect(),
+            gateways: configs.into_iter().map(Gateway::new).collect(),
             program: program_for(options),
             folder,
             platform: RefCell::new(Some(platform)),
@@ -116,7 +116,7 @@
         for index in 0..fleet.gateways.len() {
             if !fleet.is_ready_within(index, READY_TIMEOUT).await {
                 return Err(SoakError::NotReady {
-                    process: fleet.gateways[index].place.host.clone(),
+                    process: fleet.gateways[index].config.host.clone(),
                     timeout_s: READY_TIMEOUT.as_secs(),
                     folder: fleet.folder.clone(),
                 });
@@ -133,11 +133,11 @@
         let ready: Vec<_> = all
             .clone()
             .filter(|(_, gateway)| gateway.failed_checks.get() < MAX_FAILED_CHECKS)
-            .map(|(index, gateway)| (index, gateway.place.callers()))
+            .map(|(index, gateway)| (index, gateway.config.callers()))
             .collect();
         match ready.is_empty() {
             true => all
-                .map(|(index, gateway)| (index, gateway.place.callers()))
+                .map(|(index, gateway)| (index, gateway.config.callers()))
                 .collect(),
             false => ready,
         }
@@ -147,7 +147,7 @@
     pub async fn poll_readiness(self: Rc<Self>) {
         while !self.is_over.get() {
             for gateway in &self.gateways {
-                let check = caller::readiness(gateway.place.readiness());
+                let check = caller::readiness(gateway.config.readiness());
                 let is_ready = matches!(
                     tokio::time::timeout(READINESS_POLL_INTERVAL, check).await,
                     Ok(Some(200))
@@ -169,7 +169,7 @@
                 continue;
             };
             if gateway.restarts_in_progress.get() == 0 {
-                let end = format!("{} ended by itself: {status}", gateway.place.host);
+                let end = format!("{} ended by itself: {status}", gateway.config.host);
                 self.observations.borrow_mut().exit_failures.push(end);
             }
         }
@@ -228,7 +228,7 @@
             .set(gateway.restarts_in_progress.get() + 1);
         self.signal(planned.entry, signal);
         if !gateway.exits_within(EXIT_TIMEOUT).await {
-            let (host, timeout_s) = (&gateway.place.host, EXIT_TIMEOUT.as_secs());
+            let (host, timeout_s) = (&gateway.config.host, EXIT_TIMEOUT.as_secs());
             let end = format!("{host} was still there {timeout_s} s after {signal:?}");
             self.observations.borrow_mut().exit_failures.push(end);
             // Dropping the handle kills the process.
@@ -250,9 +250,9 @@
 
     fn start_gateway(&self, index: usize) -> Result<(), SoakError> {
         let gateway = &self.gateways[index];
-        let host = &gateway.place.host;
+        let host = &gateway.config.host;
         let settings = self.folder.join(format!("{host}.yaml"));
-        std::fs::write(&settings, gateway.place.settings())
+        std::fs::write(&settings, gateway.config.settings())
             .context(FolderSnafu { path: &settings })?;
         let start = gateway.starts.get() + 1;
         gateway.starts.set(start);
@@ -278,7 +278,7 @@
     async fn is_ready_within(&self, index: usize, timeout: Duration) -> bool {
         let deadline = Instant::now() + timeout;
         while Instant::now() < deadline {
-            let check = caller::readiness(self.gateways[index].place.readiness());
+            let check = caller::readiness(self.gateways[index].config.readiness());
             if let Ok(Some(200)) = tokio::time::timeout(READINESS_POLL_INTERVAL, check).await {
                 return true;
             }
@@ -307,9 +307,9 @@
 }
 
 impl Gateway {
-    fn new(place: EntryPlace) -> Self {
+    fn new(config: EntryConfig) -> Self {
         Gateway {
-            place,
+            config,
             child: RefCell::new(None),
             failed_checks: Cell::new(0),
             starts: Cell::new(0),
--- a/crates/gateway/tests/suite/crashing.rs
+++ b/crates/gateway/tests/suite/crashing.rs
@@ -53,7 +53,7 @@
         return vec![
             Step::Write(stream_head(request)),
             Step::Wait(Duration::from_millis(50)),
-            Step::End,
+            Step::Crash,
         ];
     }
     let mut steps = vec![
@@ -227,7 +227,7 @@
     };
     let work = Step::Wait(Duration::from_millis(20));
     match request.pieces().iter().any(is_fatal) {
-        true => vec![work, Step::End],
+        true => vec![work, Step::Crash],
         false => vec![work, Step::Write(results(request, "maker"))],
     }
 }
@@ -285,7 +285,7 @@
 
 fn fragile_plain(request: &ReceivedRequest) -> Vec<Step> {
     match request.body.starts_with(b"fatal") {
-        true => vec![Step::Wait(Duration::from_millis(10)), Step::End],
+        true => vec![Step::Wait(Duration::from_millis(10)), Step::Crash],
         false => vec![Step::Write(answer(request, 200, "good"))],
     }
 }
--- a/crates/gateway/tests/suite/evacuated_halls.rs
+++ b/crates/gateway/tests/suite/evacuated_halls.rs
@@ -127,7 +127,7 @@
     halls.evacuate("hall-b");
     halls.reinstate("hall-b");
     halls.evacuate("hall-a");
-    halls.store.forget_history();
+    halls.store.compact_history();
     tokio::time::sleep(Duration::from_millis(900)).await;
     expect_only(&gateway, "b").await;
     let before = halls.a.received().len();
--- a/crates/gateway/tests/suite/store_faults.rs
+++ b/crates/gateway/tests/suite/store_faults.rs
@@ -85,13 +85,13 @@
 async fn lost_history_triggers_a_fresh_read() {
     let (fixture, _one) = serving(1, "/a/").await;
     fixture.store.delete("servers/i-1");
-    fixture.store.forget_history();
+    fixture.store.compact_history();
     let two = target("two").await;
     fixture.add("i-2", "plain", &two);
     fixture
         .store
         .put("op/config", &plain_deployment(2, "/b/").bytes());
-    fixture.store.forget_history();
+    fixture.store.compact_history();
     until_status(&fixture, "/b/", 200).await;
     tokio::time::sleep(Duration::from_millis(300)).await;
     for _ in 0..8 {
@@ -143,7 +143,7 @@
 #[actix_rt::test]
 async fn stale_list_without_history_is_reread() {
     let (store, one, _two) = store_with_old_reads().await;
-    store.forget_history();
+    store.compact_history();
     expect_only_newest_target(&store, &one).await;
 }
 
@@ -181,11 +181,11 @@
             .count()
     };
     let (seen_before, reads_before) = (one.received().len(), old_reads());
-    fixture.store.forget_history();
+    fixture.store.compact_history();
     fixture
         .store
         .put("op/config", &plain_deployment(2, "/b/").bytes());
-    fixture.store.forget_history();
+    fixture.store.compact_history();
     until_status(&fixture, "/b/", 200).await;
     for _ in 0..8 {
         assert_eq!(fixture.call(&Call::new("GET", "/b/")).await.body, "two");
--- a/crates/gateway/tests/suite/store_followers.rs
+++ b/crates/gateway/tests/suite/store_followers.rs
@@ -158,7 +158,7 @@
         hall.store
             .put_target(&idle, "other", hall._target.addr, "hall-a", "ready");
     }
-    hall.store.forget_history();
+    hall.store.compact_history();
     hall.store
         .put_target("i-last", "other", hall._target.addr, "hall-a", "ready");
     tokio::time::sleep(Duration::from_secs(3)).await;
@@ -167,7 +167,7 @@
     hall.store.delete("servers/i-1");
     hall.store
         .put_target("i-2", "plain", next.addr, "hall-a", "ready");
-    hall.store.forget_history();
+    hall.store.compact_history();
     let lost = Instant::now();
     for gateway in &hall.gateways {
         while Call::new("GET", "/v1/")
--- a/crates/gateway/tests/suite/store_restore.rs
+++ b/crates/gateway/tests/suite/store_restore.rs
@@ -412,7 +412,7 @@
     store.put("op/config", &plain_deployment(1, "/a/").bytes());
     let mut targets = Vec::new();
     for number in 0..5 {
-        let target = TargetStandin::start(|_| vec![Step::End]).await;
+        let target = TargetStandin::start(|_| vec![Step::Crash]).await;
         let id = format!("i-{number}");
         store.put_target(&id, "plain", target.addr, "hall-a", "ready");
         targets.push(target);
@@ -523,7 +523,7 @@
 #[actix_rt::test]
 async fn store_without_epochs_is_followed() {
     let store = StoreStandin::start().await;
-    store.tell_no_era();
+    store.omit_epoch();
     let deployment =
         DeploymentJson::new(1)
             .service("plain")
--- a/crates/local/tests/suite/draining.rs
+++ b/crates/local/tests/suite/draining.rs
@@ -61,7 +61,7 @@
 async fn target_drain_report_reaches_every_entry() {
     let fleet = fixture::start(3).await;
     let draining = TargetFaults {
-        leaving: true,
+        draining: true,
         ..TargetFaults::default()
     };
     fleet.targets.set_faults("encoder-south", draining);
--- a/crates/local/tests/suite/halls.rs
+++ b/crates/local/tests/suite/halls.rs
@@ -87,7 +87,7 @@
 async fn no_permitted_target_refuses_without_running() {
     let fleet = fixture::start(1).await;
     let draining = TargetFaults {
-        leaving: true,
+        draining: true,
         ..TargetFaults::default()
     };
     fleet.targets.set_faults("encoder-north", draining);
--- a/crates/local/tests/suite/not_run.rs
+++ b/crates/local/tests/suite/not_run.rs
@@ -173,7 +173,7 @@
     let fleet = fixture::start(1).await;
     for target in ["encoder-north", "encoder-south"] {
         let faults = TargetFaults {
-            leaving: true,
+            draining: true,
             ..TargetFaults::default()
         };
         fleet.targets.set_faults(target, faults);
--- a/crates/local/tests/suite/pipelines.rs
+++ b/crates/local/tests/suite/pipelines.rs
@@ -57,7 +57,7 @@
             .expect("the organisation exists");
         let pipeline_key = PipelineKey(index as u16);
         let input = json!({ "log": index });
-        let expected = output::of_pipeline(&fleet.deployment, org, pipeline_key, input);
+        let expected = output::pipeline_output(&fleet.deployment, org, pipeline_key, input);
         assert_eq!(response.body.output, Some(expected), "{}", pipeline.name);
     }
     fleet.shut_down().await;
--- a/crates/standins/src/faults.rs
+++ b/crates/standins/src/faults.rs
@@ -12,7 +12,7 @@
     /// Refuses every call with this status, without executing it.
     pub refuse: Option<u16>,
     /// Refuses new calls and reports that it is draining.
-    pub leaving: bool,
+    pub draining: bool,
     /// Executes, then cuts the connection instead of answering.
     pub cut_answer: bool,
     /// Cuts a token stream after this many tokens, once per call.
@@ -37,7 +37,7 @@
             slow_factor: 1.0,
             hang: false,
             refuse: None,
-            leaving: false,
+            draining: false,
             cut_answer: false,
             cut_stream_after: None,
             drop_end_marker: false,
--- a/crates/standins/src/output.rs
+++ b/crates/standins/src/output.rs
@@ -70,7 +70,7 @@
 
 /// Expected output of a pipeline for an organisation's input, computed without
 /// calls: each stage's output is the next one's input.
-pub fn of_pipeline(
+pub fn pipeline_output(
     deployment: &Deployment,
     org: OrganisationKey,
     pipeline: PipelineKey,
--- a/crates/standins/src/targets.rs
+++ b/crates/standins/src/targets.rs
@@ -177,7 +177,7 @@
 }
 
 fn refuse(state: &TargetState, faults: &TargetFaults) -> Option<HttpResponse> {
-    if faults.leaving {
+    if faults.draining {
         let refusal = HttpResponse::ServiceUnavailable()
             .insert_header((DRAINING_HEADER, "1"))
             .finish();
--- a/crates/targets/tests/suite/main.rs
+++ b/crates/targets/tests/suite/main.rs
@@ -126,7 +126,8 @@
 
 #[actix_rt::test]
 async fn refused_connection_means_crashed() {
-    let target = TargetStandin::start(|seen| vec![Step::Write(stream_head(seen)), Step::End]).await;
+    let target =
+        TargetStandin::start(|seen| vec![Step::Write(stream_head(seen)), Step::Crash]).await;
     assert!(
         !CrashCheck::default().has_crashed(target.addr).await,
         "it is running"
--- a/src/ops/local_platform.rs
+++ b/src/ops/local_platform.rs
@@ -7,7 +7,7 @@
 use hollowsail_gateway::{start, Mechanisms, Running};
 use hollowsail_platform::settings::Settings;
 use hollowsail_platform_emulator::caller::{self, CallerRequest, Connection, Outcome};
-use hollowsail_platform_emulator::entry::{self, EntryPlace};
+use hollowsail_platform_emulator::entry::{self, EntryConfig};
 use hollowsail_platform_emulator::{Emulator, Events, RouteModel, Site};
 use snafu::Snafu;
 
@@ -61,18 +61,18 @@
     let site = read(&local.site)?;
     let emulator = Emulator::start(site.clone(), Events::new(|line| log::debug!("{line}"))).await;
     let store = emulator.store_addr();
-    let places = entry::places(local.entries, &site.halls, store, site.drain_ms);
+    let configs = entry::configs(local.entries, &site.halls, store, site.drain_ms);
     let mut gateways = Vec::new();
-    for place in &places {
-        gateways.push(start_gateway(place).await?);
+    for config in &configs {
+        gateways.push(start_gateway(config).await?);
     }
-    for place in &places {
-        wait_until_ready(place).await?;
+    for config in &configs {
+        wait_until_ready(config).await?;
     }
     let all_whole = match local.once {
-        true => call_every_route(cx, &site, &places).await,
+        true => call_every_route(cx, &site, &configs).await,
         false => {
-            print_usage(cx, &site, &places);
+            print_usage(cx, &site, &configs);
             let _ = cx.out.flush();
             let _ = tokio::signal::ctrl_c().await;
             true
@@ -80,10 +80,10 @@
     };
     let stopping = gateways.into_iter().map(Running::stop);
     futures_util::future::join_all(stopping).await;
-    for broken in emulator.account.broken() {
+    for broken in emulator.account.broken_promises() {
         cx.print_error(format_args!("{}: {}", broken.promise, broken.what));
     }
-    Ok(all_whole && emulator.account.broken().is_empty())
+    Ok(all_whole && emulator.account.broken_promises().is_empty())
 }
 
 fn read(path: &PathBuf) -> Result<Site, LocalError> {
@@ -98,37 +98,37 @@
     Site::parse(&source).map_err(|source| LocalError::Site { source })
 }
 
-async fn start_gateway(place: &EntryPlace) -> Result<Running, LocalError> {
+async fn start_gateway(config: &EntryConfig) -> Result<Running, LocalError> {
     let start_error = |reason: String| LocalError::Start { reason };
     let settings =
-        Settings::parse(&place.settings()).map_err(|err| start_error(err.to_string()))?;
+        Settings::parse(&config.settings()).map_err(|err| start_error(err.to_string()))?;
     let running = start(settings, Mechanisms::default()).await;
     running.map_err(|err| start_error(err.to_string()))
 }
 
-async fn wait_until_ready(place: &EntryPlace) -> Result<(), LocalError> {
+async fn wait_until_ready(config: &EntryConfig) -> Result<(), LocalError> {
     let deadline = Instant::now() + READY_TIMEOUT;
     while Instant::now() < deadline {
-        if caller::readiness(place.readiness()).await == Some(200) {
+        if caller::readiness(config.readiness()).await == Some(200) {
             return Ok(());
         }
         tokio::time::sleep(RETRY_INTERVAL).await;
     }
     Err(LocalError::NotReady {
-        host: place.host.clone(),
+        host: config.host.clone(),
     })
 }
 
 /// Calls every route, each at the next gateway. True when all answers are whole.
-async fn call_every_route(cx: &mut Context<'_>, site: &Site, places: &[EntryPlace]) -> bool {
+async fn call_every_route(cx: &mut Context<'_>, site: &Site, configs: &[EntryConfig]) -> bool {
     let mut all_whole = true;
     for (index, route) in site.routes.iter().enumerate() {
-        let place = &places[index % places.len()];
-        let outcome = call_with_retries(place, route, index).await;
+        let config = &configs[index % configs.len()];
+        let outcome = call_with_retries(config, route, index).await;
         let path = &route.path;
         cx.print(format_args!(
             "{path} at {}: {}",
-            place.host,
+            config.host,
             describe(&outcome)
         ));
         all_whole &= outcome == Outcome::Whole;
@@ -136,11 +136,11 @@
     all_whole
 }
 
-async fn call_with_retries(place: &EntryPlace, route: &RouteModel, number: usize) -> Outcome {
+async fn call_with_retries(config: &EntryConfig, route: &RouteModel, number: usize) -> Outcome {
     let mut outcome = Outcome::NotRun { after: None };
     for attempt in 0..MAX_ATTEMPTS {
-        let request = CallerRequest::on(route, format!("{:08x}{attempt:08x}", number + 1));
-        outcome = match Connection::open(place.callers()).await {
+        let request = CallerRequest::for_route(route, format!("{:08x}{attempt:08x}", number + 1));
+        outcome = match Connection::open(config.callers()).await {
             Ok(mut connection) => connection.call(&request).await,
             Err(err) => Outcome::Unknown {
                 why: err.to_string(),
@@ -163,12 +163,12 @@
     }
 }
 
-fn print_usage(cx: &mut Context<'_>, site: &Site, places: &[EntryPlace]) {
-    for place in places {
+fn print_usage(cx: &mut Context<'_>, site: &Site, configs: &[EntryConfig]) {
+    for config in configs {
         cx.print(format_args!(
             "{} listens for callers at {}",
-            place.host,
-            place.callers()
+            config.host,
+            config.callers()
         ));
     }
     for route in &site.routes {
