--- a/crates/bench/src/chaos.rs
+++ b/crates/bench/src/chaos.rs
@@ -1,4 +1,4 @@
-//! Random faults drawn from a seed, with random kinds, places and times.
+//! Random faults drawn from a seed, with random kinds, targets and times.
 
 use hollowsail_config::Deployment;
 use rand::rngs::SmallRng;
@@ -20,8 +20,8 @@
     let mut rng = SmallRng::seed_from_u64(seed ^ SEED_OFFSET);
     let run_ms = (seconds * 1000.0) as u64;
     (0..count)
-        .map(|at| FaultPlan {
-            name: format!("drawn-{at}"),
+        .map(|index| FaultPlan {
+            name: format!("drawn-{index}"),
             kind: draw_kind(&mut rng, entries, deployment),
             at_ms: rng.random_range(0..run_ms.max(1)),
             for_ms: rng.random_range(200..run_ms.max(400) / 2 + 201),
@@ -46,7 +46,7 @@
             share: rng.random_range(0.1..0.9),
         },
         7 => FaultKind::EntryKilled {
-            place: rng.random_range(0..entries),
+            entry: rng.random_range(0..entries),
         },
         _ => FaultKind::RacingApplies {
             every_ms: rng.random_range(200..1000),
--- a/crates/bench/src/commands/control.rs
+++ b/crates/bench/src/commands/control.rs
@@ -51,14 +51,14 @@
         );
         for (phase, cost) in [("at rest", report.at_rest), ("changing", report.changing)] {
             println!(
-                "{phase:<9} {:.2}% of a core, {:.0} bytes/s an entry; {:.2} store calls/s in all",
+                "{phase:<9} {:.2}% of a core, {:.0} bytes/s per entry; {:.2} store calls/s in total",
                 100.0 * cost.core_share,
                 cost.bytes_per_second,
                 cost.store_calls_per_second
             );
         }
         println!(
-            "{} changes, in force everywhere after {:?} ms; {:.1} MB an entry; largest chunk {} bytes",
+            "{} changes, in force everywhere after {:?} ms; {:.1} MB per entry; largest chunk {} bytes",
             report.changes, report.in_force_ms, report.memory_mb, report.largest_chunk
         );
         Ok(true)
--- a/crates/bench/src/commands/decision.rs
+++ b/crates/bench/src/commands/decision.rs
@@ -28,7 +28,7 @@
         }
         for report in reports {
             println!(
-                "{:>4} targets, {:>4} organisations: {:.1} microseconds a decision",
+                "{:>4} targets, {:>4} organisations: {:.1} microseconds per decision",
                 report.targets, report.organisations, report.microseconds
             );
         }
--- a/crates/bench/src/commands/overhead.rs
+++ b/crates/bench/src/commands/overhead.rs
@@ -32,12 +32,12 @@
         }
         for report in reports {
             println!(
-                "{:<20} {} stages: straight p50 {:.3} p99 {:.3} ms, through an entry p50 {:.3} \
-                 p99 {:.3} ms, added a stage p50 {:.3} p99 {:.3} ms",
+                "{:<20} {} stages: direct p50 {:.3} p99 {:.3} ms, through an entry p50 {:.3} \
+                 p99 {:.3} ms, added per stage p50 {:.3} p99 {:.3} ms",
                 report.pipeline,
                 report.stages,
-                report.straight.p50_ms,
-                report.straight.p99_ms,
+                report.direct.p50_ms,
+                report.direct.p99_ms,
                 report.through_entry.p50_ms,
                 report.through_entry.p99_ms,
                 report.added_per_stage_p50_ms,
--- a/crates/bench/src/control.rs
+++ b/crates/bench/src/control.rs
@@ -125,15 +125,17 @@
 /// Changes one organisation's weight at each interval and records the time until in force.
 async fn change(fleet: &LocalFleet, in_force_ms: &mut Vec<u64>) {
     let changes = CHANGING.as_secs() / CHANGE_INTERVAL.as_secs();
-    for at in 0..changes {
+    for index in 0..changes {
         let due = Instant::now() + CHANGE_INTERVAL;
         let base = fleet.entry(0).entry.view().revision();
         let mut files = fleet.files.clone();
         let old = "[organisation.o0]\nhalls=h0, h1\nweight=1";
-        let new = format!("[organisation.o0]\nhalls=h0, h1\nweight={}", at + 2);
+        let new = format!("[organisation.o0]\nhalls=h0, h1\nweight={}", index + 2);
         files[0].text = files[0].text.replace(old, &new);
         let started = Instant::now();
-        let result = fleet.apply(0, files, base, &format!("change-{at}")).await;
+        let result = fleet
+            .apply(0, files, base, &format!("change-{index}"))
+            .await;
         if matches!(&result, ApplyResult::Accepted { missing, .. } if missing.is_empty()) {
             in_force_ms.push(started.elapsed().as_millis() as u64);
         }
@@ -160,8 +162,8 @@
     }
     for pipeline in 0..size.pipelines {
         text += &format!("[pipeline.p{pipeline}]\nstages = a, b, c, d\n");
-        for (at, stage) in ["a", "b", "c", "d"].iter().enumerate() {
-            text += &format!("[stage.p{pipeline}.{stage}]\nservice = s{at}\n");
+        for (index, stage) in ["a", "b", "c", "d"].iter().enumerate() {
+            text += &format!("[stage.p{pipeline}.{stage}]\nservice = s{index}\n");
         }
     }
     for org in 0..size.organisations {
--- a/crates/bench/src/day/bound.rs
+++ b/crates/bench/src/day/bound.rs
@@ -11,7 +11,7 @@
 pub fn credit(day: &DayModel, requests: &[DrawnRequest]) -> f64 {
     let mut backlog_ms = vec![0.0f64; day.pools.len()];
     let mut last_at = 0;
-    let (mut credit, mut owed) = (0.0, 0.0);
+    let (mut credit, mut possible) = (0.0, 0.0);
     for request in requests {
         let elapsed_ms = (request.at_ms - last_at) as f64;
         last_at = request.at_ms;
@@ -19,7 +19,7 @@
             *backlog = (*backlog - elapsed_ms * pool.workers as f64).max(0.0);
         }
         let kind = &day.kinds[request.kind];
-        owed += kind.worth;
+        possible += kind.worth;
         let needed = needed_ms(day, request, &backlog_ms);
         if needed > kind.target_ms as f64 {
             continue;
@@ -29,7 +29,7 @@
             backlog_ms[stage.pool] += work_ms(day, stage, pieces);
         }
     }
-    credit / owed.max(f64::MIN_POSITIVE)
+    credit / possible.max(f64::MIN_POSITIVE)
 }
 
 /// Worker time of pieces of a stage in full batches, in milliseconds.
--- a/crates/bench/src/day/draw.rs
+++ b/crates/bench/src/day/draw.rs
@@ -84,7 +84,7 @@
         at_ms,
         kind: kind_index,
         pieces,
-        prefix: rng.random_range(0..kind.parts),
+        prefix: rng.random_range(0..kind.prefixes),
         own_tokens: spread(kind.own_tokens as f64, rng) as u64,
         events: spread(f64::from(kind.events), rng).max(1.0) as u32,
         entry: rng.random_range(0..model.entries),
--- a/crates/bench/src/day/engines.rs
+++ b/crates/bench/src/day/engines.rs
@@ -180,7 +180,7 @@
         }
         let cached = &mut self.engines[engine].cached_prefixes;
         cached.insert(prompt.prefix.clone(), (now, prompt.shared_tokens));
-        while cached.values().map(|(_, tokens)| tokens).sum::<u64>() > self.model.kept_tokens {
+        while cached.values().map(|(_, tokens)| tokens).sum::<u64>() > self.model.cache_tokens {
             let oldest = cached
                 .iter()
                 .min_by_key(|(prefix, (used, _))| (*used, (*prefix).clone()));
--- a/crates/bench/src/day/model.rs
+++ b/crates/bench/src/day/model.rs
@@ -34,7 +34,7 @@
     /// Time per event on an otherwise idle engine, in milliseconds.
     pub event_ms: f64,
     /// Capacity of the prefix cache, in tokens.
-    pub kept_tokens: u64,
+    pub cache_tokens: u64,
 }
 
 /// Workers of one stage service; all have the same parameters.
@@ -63,7 +63,7 @@
     pub late_worth: f64,
     /// Length of a shared prompt prefix in tokens, and the number of different prefixes.
     pub shared_tokens: u64,
-    pub parts: u32,
+    pub prefixes: u32,
     pub own_tokens: u64,
     pub events: u32,
     pub stages: Vec<StageModel>,
@@ -282,7 +282,7 @@
         slots: section.number("slots", 64, 1..=10_000),
         tokens_per_ms: section.number("tokens_per_ms", 60.0, 0.01..=1e6),
         event_ms: section.number("event_ms", 17.0, 0.0..=10_000.0),
-        kept_tokens: section.number("kept_tokens", 600_000, 0..=1_000_000_000),
+        cache_tokens: section.number("kept_tokens", 600_000, 0..=1_000_000_000),
     }
 }
 
@@ -307,7 +307,7 @@
         worth: section.number("worth", 1.0, 0.0..=1e6),
         late_worth: section.number("late_worth", 0.1, 0.0..=1e6),
         shared_tokens: section.number("shared_tokens", 0, 0..=10_000_000),
-        parts: section.number("parts", 1, 1..=1_000_000),
+        prefixes: section.number("parts", 1, 1..=1_000_000),
         own_tokens: section.number("own_tokens", 0, 0..=10_000_000),
         events: section.number("events", 1, 1..=1_000_000),
         stages: Vec::new(),
--- a/crates/bench/src/day/report.rs
+++ b/crates/bench/src/day/report.rs
@@ -18,14 +18,17 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct KindReport {
     pub name: String,
-    pub asked: u32,
+    #[serde(rename = "asked")]
+    pub requests: u32,
     pub in_time: u32,
     pub late: u32,
     pub refused: u32,
-    pub left: u32,
+    #[serde(rename = "left")]
+    pub abandoned: u32,
     /// Credit of the answers, and the credit if all had been in time.
     pub credit: f64,
-    pub owed: f64,
+    #[serde(rename = "owed")]
+    pub possible_credit: f64,
 }
 
 /// Results of one day with one policy.
@@ -37,22 +40,23 @@
     pub calls: u32,
     pub pieces: u32,
     /// Prefix tokens prefilled on one engine while another one had them cached.
-    pub read_again: u64,
+    #[serde(rename = "read_again")]
+    pub recomputed_tokens: u64,
 }
 
 impl DayReport {
     /// Credit of the day as a share of the possible credit, 0 to 1.
     pub fn credit(&self) -> f64 {
-        let owed: f64 = self.kinds.iter().map(|kind| kind.owed).sum();
+        let possible: f64 = self.kinds.iter().map(|kind| kind.possible_credit).sum();
         let credit: f64 = self.kinds.iter().map(|kind| kind.credit).sum();
-        credit / owed.max(f64::MIN_POSITIVE)
+        credit / possible.max(f64::MIN_POSITIVE)
     }
 
     /// Share of the requests that `count` counts.
     pub fn share(&self, count: impl Fn(&KindReport) -> u32) -> f64 {
-        let asked: u32 = self.kinds.iter().map(|kind| kind.asked).sum();
+        let requests: u32 = self.kinds.iter().map(|kind| kind.requests).sum();
         let counted: u32 = self.kinds.iter().map(count).sum();
-        f64::from(counted) / f64::from(asked.max(1))
+        f64::from(counted) / f64::from(requests.max(1))
     }
 
     /// Mean number of completed pieces per call.
@@ -81,9 +85,9 @@
             mean(&|day| day.share(|kind| kind.in_time)),
             mean(&|day| day.share(|kind| kind.late)),
             mean(&|day| day.share(|kind| kind.refused)),
-            mean(&|day| day.share(|kind| kind.left)),
+            mean(&|day| day.share(|kind| kind.abandoned)),
             mean(&DayReport::pieces_per_call),
-            mean(&|day| day.read_again as f64),
+            mean(&|day| day.recomputed_tokens as f64),
         );
     }
     text + &format!("{:<34} {bound:>7.3}\n", "upper bound")
--- a/crates/bench/src/day/world/mod.rs
+++ b/crates/bench/src/day/world/mod.rs
@@ -30,8 +30,8 @@
 const ENGINE_MS: u64 = 250;
 /// How long a caller waits for the first event: at least a time in milliseconds, and a
 /// multiple of its target time.
-const MIN_PATIENCE_MS: u64 = 2_000;
-const PATIENCE_TARGETS: u64 = 4;
+const MIN_CALLER_TIMEOUT_MS: u64 = 2_000;
+const CALLER_TIMEOUT_TARGETS: u64 = 4;
 /// Delay before a refused caller retries, in milliseconds.
 const RETRY_DELAY_MS: u64 = 400;
 /// Interval of checks for overdue calls and expired pieces, in milliseconds; same as the
@@ -144,7 +144,7 @@
     }
     world.schedule(0, Event::Tick);
     world.run();
-    world.report.read_again = world.engines.recomputed_tokens;
+    world.report.recomputed_tokens = world.engines.recomputed_tokens;
     world.report
 }
 
@@ -254,8 +254,8 @@
             return;
         }
         let kind = self.kind(attempt);
-        let patience = (PATIENCE_TARGETS * kind.target_ms).max(MIN_PATIENCE_MS);
-        let times_out_at = requested_at + patience.min(kind.deadline_ms);
+        let timeout_ms = (CALLER_TIMEOUT_TARGETS * kind.target_ms).max(MIN_CALLER_TIMEOUT_MS);
+        let times_out_at = requested_at + timeout_ms.min(kind.deadline_ms);
         let key = self.requests.insert(Request {
             attempt,
             requested_at,
@@ -341,8 +341,8 @@
             RequestOutcome::Refused | RequestOutcome::Abandoned => 0.0,
         };
         let kind = &mut self.report.kinds[self.drawn[attempt.drawn].kind];
-        kind.asked += 1;
-        kind.owed += model.worth;
+        kind.requests += 1;
+        kind.possible_credit += model.worth;
         kind.credit += if attempt.is_retry {
             credit / 2.0
         } else {
@@ -352,7 +352,7 @@
             RequestOutcome::InTime => kind.in_time += 1,
             RequestOutcome::Late => kind.late += 1,
             RequestOutcome::Refused => kind.refused += 1,
-            RequestOutcome::Abandoned => kind.left += 1,
+            RequestOutcome::Abandoned => kind.abandoned += 1,
         }
     }
 }
--- a/crates/bench/src/faults.rs
+++ b/crates/bench/src/faults.rs
@@ -85,7 +85,7 @@
                 lose_answers: if switch.on { *share } else { 0.0 },
                 ..StoreFaults::default()
             }),
-            FaultKind::EntryKilled { place } if switch.on => self.kill_entry(*place).await,
+            FaultKind::EntryKilled { entry } if switch.on => self.kill_entry(*entry).await,
             FaultKind::EntryKilled { .. } => self.add_entry().await,
             FaultKind::RollingRestart if switch.on => self.restart_all().await,
             FaultKind::RollingRestart => {}
@@ -96,8 +96,8 @@
         }
     }
 
-    async fn kill_entry(&mut self, place: usize) {
-        if let Some(entry) = self.fleet.take_entry(place) {
+    async fn kill_entry(&mut self, index: usize) {
+        if let Some(entry) = self.fleet.take_entry(index) {
             let address = entry.callers;
             entry.kill().await;
             remove_from_balancer(self.callers, address);
@@ -105,17 +105,17 @@
     }
 
     async fn add_entry(&mut self) {
-        if let Ok(place) = self.fleet.start_entry().await {
-            self.sampler.watch(&self.fleet.entry(place).entry);
+        if let Ok(index) = self.fleet.start_entry().await {
+            self.sampler.watch(&self.fleet.entry(index).entry);
             self.fleet.wait_for_members().await;
-            self.callers.add_entry(self.fleet.entry(place).callers);
+            self.callers.add_entry(self.fleet.entry(index).callers);
         }
     }
 
     async fn restart_all(&mut self) {
-        for place in 0..self.fleet.entries.len() {
+        for index in 0..self.fleet.entries.len() {
             self.add_entry().await;
-            if let Some(entry) = self.fleet.take_entry(place) {
+            if let Some(entry) = self.fleet.take_entry(index) {
                 remove_from_balancer(self.callers, entry.callers);
                 entry.stop().await;
             }
@@ -124,10 +124,10 @@
 
     /// Sends two concurrent applies on the same base to the first and the last running entry.
     async fn race_applies(&mut self) {
-        let places: Vec<usize> = (0..self.fleet.entries.len())
-            .filter(|&place| self.fleet.entries[place].is_some())
+        let indexes: Vec<usize> = (0..self.fleet.entries.len())
+            .filter(|&index| self.fleet.entries[index].is_some())
             .collect();
-        let (Some(&first), Some(&last)) = (places.first(), places.last()) else {
+        let (Some(&first), Some(&last)) = (indexes.first(), indexes.last()) else {
             return;
         };
         let base = self.fleet.entry(first).entry.view().revision();
@@ -164,15 +164,15 @@
         {
             self.fleet.targets.set_faults(&target.name, hang.clone());
         }
-        let places: Vec<usize> = (0..self.fleet.entries.len())
-            .filter(|&place| {
-                self.fleet.entries[place]
+        let indexes: Vec<usize> = (0..self.fleet.entries.len())
+            .filter(|&index| {
+                self.fleet.entries[index]
                     .as_ref()
                     .is_some_and(|entry| entry.entry.settings.hall == hall)
             })
             .collect();
-        for place in places.into_iter().filter(|_| on) {
-            self.kill_entry(place).await;
+        for index in indexes.into_iter().filter(|_| on) {
+            self.kill_entry(index).await;
         }
     }
 }
--- a/crates/bench/src/history.rs
+++ b/crates/bench/src/history.rs
@@ -77,7 +77,7 @@
             check_once(&mut promises, deployment, record, executed);
         }
     }
-    check_places(&mut promises, deployment, executions);
+    check_halls(&mut promises, deployment, executions);
     check_same_answer(&mut promises, deployment, records);
     for pair in revisions.iter().flat_map(|seen| seen.windows(2)) {
         promises.check("no configuration goes back", pair[0] <= pair[1]);
@@ -141,7 +141,7 @@
     }
 }
 
-fn check_places(promises: &mut Promises, deployment: &Deployment, executions: &[Execution]) {
+fn check_halls(promises: &mut Promises, deployment: &Deployment, executions: &[Execution]) {
     for execution in executions {
         let org = deployment.find_organisation(&execution.org);
         let permitted = org.is_some_and(|org| deployment.permits_named(org, &execution.hall));
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -23,7 +23,7 @@
 use crate::arrivals::Arrival;
 
 /// Tickets fetched from an entry at a time.
-const TICKETS: usize = 20;
+const TICKET_BATCH_SIZE: usize = 20;
 
 /// Outcome of a request, or of one of its two sends.
 #[derive(Debug, Clone)]
@@ -58,7 +58,7 @@
 
 /// Maximum number of entries tried for a ticket; then the request is sent without one.
 const TICKET_TRIES: usize = 3;
-/// Threads that callers run on; one thread could not keep up with a burst.
+/// Threads that callers run on, enough for bursts.
 const THREADS: usize = 4;
 
 /// Handle to the state shared by all callers of a run.
@@ -242,7 +242,7 @@
             if prefetched.is_some() {
                 return prefetched;
             }
-            let Ok(mut fetched) = self.caller.tickets(entry, &key, TICKETS).await else {
+            let Ok(mut fetched) = self.caller.tickets(entry, &key, TICKET_BATCH_SIZE).await else {
                 continue;
             };
             let ticket = fetched.pop();
--- a/crates/bench/src/overhead.rs
+++ b/crates/bench/src/overhead.rs
@@ -37,7 +37,8 @@
     pub pipeline: String,
     pub stages: usize,
     pub requests: usize,
-    pub straight: Latency,
+    #[serde(rename = "straight")]
+    pub direct: Latency,
     pub through_entry: Latency,
     pub added_per_stage_p50_ms: f64,
     pub added_per_stage_p99_ms: f64,
@@ -63,30 +64,30 @@
         if pipeline.runs_once() {
             continue;
         }
-        let mut straight = histogram();
+        let mut direct = histogram();
         let mut through_entry = histogram();
         for round in 0..requests + WARM_UP {
             let started = Instant::now();
             call_directly(&fleet, index, round).await;
-            let straight_time = started.elapsed();
+            let direct_time = started.elapsed();
             let started = Instant::now();
             call_through_entry(&fleet, index, round).await;
             let entry_time = started.elapsed();
             if round >= WARM_UP {
-                straight.saturating_record(straight_time.as_micros() as u64);
+                direct.saturating_record(direct_time.as_micros() as u64);
                 through_entry.saturating_record(entry_time.as_micros() as u64);
             }
         }
-        let (straight, through_entry) = (latency(&straight), latency(&through_entry));
+        let (direct, through_entry) = (latency(&direct), latency(&through_entry));
         let stages = pipeline.stages.len();
         reports.push(OverheadReport {
             pipeline: pipeline.name.clone(),
             stages,
             requests,
-            straight,
+            direct,
             through_entry,
-            added_per_stage_p50_ms: (through_entry.p50_ms - straight.p50_ms) / stages as f64,
-            added_per_stage_p99_ms: (through_entry.p99_ms - straight.p99_ms) / stages as f64,
+            added_per_stage_p50_ms: (through_entry.p50_ms - direct.p50_ms) / stages as f64,
+            added_per_stage_p99_ms: (through_entry.p99_ms - direct.p99_ms) / stages as f64,
         });
     }
     fleet.shut_down().await;
--- a/crates/bench/src/report.rs
+++ b/crates/bench/src/report.rs
@@ -263,6 +263,6 @@
         );
     }
     let calls = report.spread_of(|run| run.store_calls_per_second).median;
-    text += &format!("  store calls a second: {calls:.2}\n");
+    text += &format!("  store calls per second: {calls:.2}\n");
     text
 }
--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -62,7 +62,7 @@
     /// The store executes requests but drops a share of its answers.
     StoreLosesAnswers { share: f64 },
     /// An entry is killed; a new one replaces it at the end of the fault.
-    EntryKilled { place: usize },
+    EntryKilled { entry: usize },
     /// All entries are stopped and replaced, one after the other.
     RollingRestart,
     /// Two operators apply at the same time at two entries, repeatedly.
@@ -176,7 +176,7 @@
             share: section.number("share", 0.5, 0.0..=1.0),
         },
         "entry-killed" => FaultKind::EntryKilled {
-            place: section.number("place", 0, 0..=63),
+            entry: section.number("place", 0, 0..=63),
         },
         "rolling-restart" => FaultKind::RollingRestart,
         "racing-applies" => FaultKind::RacingApplies {
--- a/crates/bench/src/soak/callers.rs
+++ b/crates/bench/src/soak/callers.rs
@@ -19,7 +19,7 @@
 const PAUSE: Duration = Duration::from_millis(200);
 /// Share of requests that callers cancel, and the upper limit of the time until they do.
 const CANCEL_SHARE: f64 = 0.04;
-const CANCEL_WITHIN_MS: u64 = 120;
+const MAX_CANCEL_DELAY_MS: u64 = 120;
 /// How long a caller waits beyond the route's timeout.
 const TIMEOUT_GRACE: Duration = Duration::from_secs(2);
 
@@ -132,7 +132,7 @@
     async fn attempt(&mut self, route: &Rc<RouteModel>) -> Option<Outcome> {
         let is_cancelled = self.rng.random_bool(CANCEL_SHARE);
         let timeout = match is_cancelled {
-            true => Duration::from_millis(self.rng.random_range(1..CANCEL_WITHIN_MS)),
+            true => Duration::from_millis(self.rng.random_range(1..MAX_CANCEL_DELAY_MS)),
             false => Duration::from_millis(route.timeout_ms) + TIMEOUT_GRACE,
         };
         self.ensure_connected().await;
--- a/crates/bench/src/soak/checks.rs
+++ b/crates/bench/src/soak/checks.rs
@@ -68,9 +68,9 @@
     let took_ms = (attempt.ended - attempt.sent).as_millis();
     match attempt.outcome.as_ref()? {
         Outcome::Wrong { why } => Some(format!("request {id} at gateway {entry}: {why}")),
-        Outcome::NotRun { .. } if observations.ran.contains(id) => {
-            Some(format!("request {id} was said not to have run, and ran"))
-        }
+        Outcome::NotRun { .. } if observations.ran.contains(id) => Some(format!(
+            "request {id} was reported as not run, but a target ran it"
+        )),
         Outcome::Unknown { why } if is_cut_by_stop(attempt, observations) => Some(format!(
             "request {id} was cut by a planned stop of gateway {entry}: {why}"
         )),
--- a/crates/bench/src/soak/processes.rs
+++ b/crates/bench/src/soak/processes.rs
@@ -84,7 +84,8 @@
     store: Option<String>,
     request: Option<String>,
     promise: Option<String>,
-    what: Option<String>,
+    #[serde(rename = "what")]
+    description: Option<String>,
 }
 
 impl Fleet {
@@ -169,8 +170,8 @@
                 continue;
             };
             if gateway.restarts_in_progress.get() == 0 {
-                let end = format!("{} ended by itself: {status}", gateway.config.host);
-                self.observations.borrow_mut().exit_failures.push(end);
+                let failure = format!("{} exited unexpectedly: {status}", gateway.config.host);
+                self.observations.borrow_mut().exit_failures.push(failure);
             }
         }
     }
@@ -229,8 +230,8 @@
         self.signal(planned.entry, signal);
         if !gateway.exits_within(EXIT_TIMEOUT).await {
             let (host, timeout_s) = (&gateway.config.host, EXIT_TIMEOUT.as_secs());
-            let end = format!("{host} was still there {timeout_s} s after {signal:?}");
-            self.observations.borrow_mut().exit_failures.push(end);
+            let failure = format!("{host} had not exited {timeout_s} s after {signal:?}");
+            self.observations.borrow_mut().exit_failures.push(failure);
             // Dropping the handle kills the process.
             drop(gateway.child.take());
         }
@@ -299,7 +300,7 @@
                 let mut observations = self.observations.borrow_mut();
                 observations
                     .exit_failures
-                    .push("the platform did not end".to_string());
+                    .push("the platform did not exit".to_string());
             }
         }
         std::mem::take(&mut *self.observations.borrow_mut())
@@ -413,8 +414,10 @@
             ("ran", Some(request)) => drop(observations.ran.insert(request)),
             ("broken", _) => {
                 let promise = event.promise.unwrap_or_default();
-                let what = event.what.unwrap_or_default();
-                observations.broken.push(format!("{promise}: {what}"));
+                let description = event.description.unwrap_or_default();
+                observations
+                    .broken
+                    .push(format!("{promise}: {description}"));
             }
             _ => {}
         }
--- a/crates/bench/tests/suite/day.rs
+++ b/crates/bench/tests/suite/day.rs
@@ -32,11 +32,11 @@
     let drawn = draw_requests(&day, 1).len();
     for policy in DayPolicy::names() {
         let report = play(&day, &policy, 1);
-        let counted: u32 = report.kinds.iter().map(|kind| kind.asked).sum();
+        let counted: u32 = report.kinds.iter().map(|kind| kind.requests).sum();
         assert_eq!(counted as usize, drawn, "{policy}");
         for kind in &report.kinds {
-            let total = kind.in_time + kind.late + kind.refused + kind.left;
-            assert_eq!(total, kind.asked, "{policy}, {}", kind.name);
+            let total = kind.in_time + kind.late + kind.refused + kind.abandoned;
+            assert_eq!(total, kind.requests, "{policy}, {}", kind.name);
         }
     }
 }
@@ -49,9 +49,9 @@
     day.seconds = 16.0;
     let drawn = draw_requests(&day, 1).len();
     let report = play(&day, "hollowsail-without-forecast", 1);
-    let counted: u32 = report.kinds.iter().map(|kind| kind.asked).sum();
+    let counted: u32 = report.kinds.iter().map(|kind| kind.requests).sum();
     assert_eq!(counted as usize, drawn);
-    let lost: u32 = report.kinds.iter().map(|kind| kind.left).sum();
+    let lost: u32 = report.kinds.iter().map(|kind| kind.abandoned).sum();
     let late: u32 = report.kinds.iter().map(|kind| kind.late).sum();
     let per_second = day.rate as u32;
     assert!((per_second / 4..per_second).contains(&lost), "{lost}");
--- a/crates/bench/tests/suite/limited.rs
+++ b/crates/bench/tests/suite/limited.rs
@@ -34,7 +34,7 @@
 fn answered_share(report: &DayReport) -> f64 {
     let kinds = report.kinds.iter();
     let answered: u32 = kinds.map(|kind| kind.in_time + kind.late).sum();
-    let total: u32 = report.kinds.iter().map(|kind| kind.asked).sum();
+    let total: u32 = report.kinds.iter().map(|kind| kind.requests).sum();
     f64::from(answered) / f64::from(total)
 }
 
--- a/crates/clients/src/host_list.rs
+++ b/crates/clients/src/host_list.rs
@@ -1,4 +1,4 @@
-//! Client of the platform's host list: live and leaving hosts, with a delay.
+//! Client of the platform's host list: live and draining hosts, with a delay.
 //!
 //! Requests carry the tag of the last list read; an unchanged list is not sent
 //! again.
--- a/crates/clients/src/target.rs
+++ b/crates/clients/src/target.rs
@@ -135,7 +135,7 @@
     call: &Call,
     remaining: Duration,
 ) -> Result<(Value, TargetReports), CallError> {
-    let (mut reply, notice) = send(client, address, org, call, remaining).await?;
+    let (mut reply, reports) = send(client, address, org, call, remaining).await?;
     let body = reply
         .body()
         .limit(MAX_ANSWER_BYTES)
@@ -143,7 +143,7 @@
         .map_err(|err| CallError::broken(format!("the answer was cut off: {err}")))?;
     let answer: Answer = serde_json::from_slice(&body)
         .map_err(|err| CallError::broken(format!("the answer is not valid: {err}")))?;
-    check_answer(call, answer).map(|output| (output, notice))
+    check_answer(call, answer).map(|output| (output, reports))
 }
 
 fn check_answer(call: &Call, answer: Answer) -> Result<Value, CallError> {
@@ -168,13 +168,13 @@
     call: &Call,
     remaining: Duration,
 ) -> Result<(TokenStream, TargetReports), CallError> {
-    let (reply, notice) = send(client, address, org, call, remaining).await?;
+    let (reply, reports) = send(client, address, org, call, remaining).await?;
     let stream = TokenStream {
         events: Box::pin(reply.eventsource()),
         dispatch: call.dispatch.clone(),
         next_offset: call.from_token,
     };
-    Ok((stream, notice))
+    Ok((stream, reports))
 }
 
 async fn send(
--- a/crates/gateway/src/control/usable.rs
+++ b/crates/gateway/src/control/usable.rs
@@ -43,11 +43,11 @@
     /// Updates warm-ups from the present records.
     pub(super) fn update_warm_ups(&self) {
         let registry = self.registry.borrow();
-        let warming_up = registry.all().filter(|(_, record)| record.cold_ms > 0);
+        let warming_up = registry.all().filter(|(_, record)| record.warm_up_ms > 0);
         let warming_up = warming_up.map(|(at, record)| WarmUpRecord {
             incarnation: &record.incarnation.id,
             at,
-            remaining_ms: record.cold_ms,
+            remaining_ms: record.warm_up_ms,
         });
         self.warm_ups
             .borrow_mut()
--- a/crates/local/tests/suite/halls.rs
+++ b/crates/local/tests/suite/halls.rs
@@ -59,7 +59,7 @@
 }
 
 #[actix_rt::test]
-async fn ticket_from_permitted_hall_works_at_any_entry() {
+async fn ticket_from_permitted_hall_works_everywhere() {
     let fleet = fixture::start(2).await;
     let ticket = fixture::ticket(&fleet, 1, NORTH_KEY).await;
     let payment = fixture::payment(NORTH_KEY, "far", &ticket);
--- a/crates/local/tests/suite/stopping.rs
+++ b/crates/local/tests/suite/stopping.rs
@@ -139,7 +139,7 @@
 }
 
 #[actix_rt::test]
-async fn endless_body_ends_at_deadline_and_allows_stop() {
+async fn endless_body_times_out_and_allows_stop() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let mut fleet = fixture::start(2).await;
     let mut socket = tokio::net::TcpStream::connect(fleet.entry(0).callers)
--- a/crates/targets/tests/suite/main.rs
+++ b/crates/targets/tests/suite/main.rs
@@ -39,7 +39,7 @@
         version: "v1".to_string(),
         slots: 8,
         draining: false,
-        cold_ms: 0,
+        warm_up_ms: 0,
     };
     UsableTarget {
         record: Arc::new(record),
--- a/src/ops/local_platform.rs
+++ b/src/ops/local_platform.rs
@@ -81,7 +81,7 @@
     let stopping = gateways.into_iter().map(Running::stop);
     futures_util::future::join_all(stopping).await;
     for broken in emulator.account.broken_promises() {
-        cx.print_error(format_args!("{}: {}", broken.promise, broken.what));
+        cx.print_error(format_args!("{}: {}", broken.promise, broken.description));
     }
     Ok(all_whole && emulator.account.broken_promises().is_empty())
 }
