--- a/crates/entry/src/crashes.rs
+++ b/crates/entry/src/crashes.rs
@@ -60,7 +60,7 @@
     pub fn record_crash(&self, now: Millis, job: &Job, sent_at: Millis) -> Option<u32> {
         let run = CrashedRun {
             sent: sent_at,
-            ended: now,
+            crashed_at: now,
             was_suspect: false,
         };
         self.ledger().record_crash(now, digest(job), run)
--- a/crates/fleet/src/connectivity.rs
+++ b/crates/fleet/src/connectivity.rs
@@ -1,4 +1,4 @@
-//! Decides whether this entry can know which configuration is in force.
+//! Decides whether this entry may have missed a newer configuration.
 //!
 //! Contact with peers is sufficient while the store is down, because no configuration can be
 //! accepted without the store. An entry that reaches neither the store nor a peer may be
--- a/crates/fleet/src/evacuated_halls.rs
+++ b/crates/fleet/src/evacuated_halls.rs
@@ -15,17 +15,18 @@
 pub struct EvacuatedHalls {
     /// All changes up to this position are applied.
     as_of: Position,
-    /// Each hall with the position at which it was evacuated. A position of an earlier epoch
-    /// than that of `as_of` is unconfirmed: the key hasn't been written again since.
+    /// Each hall with the position at which it was evacuated. A hall with a position of an
+    /// earlier epoch than `as_of` is unconfirmed: its key hasn't been written again since.
     halls: BTreeMap<String, Position>,
     /// Halls evacuated in an earlier epoch and reinstated in this one, with the position of
-    /// the latter.
-    taken_back: BTreeMap<String, Position>,
+    /// the reinstatement.
+    #[serde(rename = "taken_back")]
+    reinstated_halls: BTreeMap<String, Position>,
 }
 
 impl EvacuatedHalls {
     /// Applies a complete list as of a position. True when the set of halls changed.
-    pub fn take_list(&mut self, as_of: Position, listed: Vec<(String, Position)>) -> bool {
+    pub fn apply_list(&mut self, as_of: Position, listed: Vec<(String, Position)>) -> bool {
         if as_of < self.as_of {
             return false;
         }
@@ -33,8 +34,8 @@
         let listed = EvacuatedHalls {
             as_of,
             halls: listed.into_iter().collect(),
-            taken_back: match is_same_epoch {
-                true => std::mem::take(&mut self.taken_back),
+            reinstated_halls: match is_same_epoch {
+                true => std::mem::take(&mut self.reinstated_halls),
                 false => BTreeMap::new(),
             },
         };
@@ -49,7 +50,7 @@
     /// Replaces the state by a newer one, but keeps halls that the store may have lost.
     fn replace(&mut self, mut newer: EvacuatedHalls) -> bool {
         let is_lost = |hall: &String, since: &Position| {
-            since.epoch < newer.as_of.epoch && !newer.taken_back.contains_key(hall)
+            since.epoch < newer.as_of.epoch && !newer.reinstated_halls.contains_key(hall)
         };
         let lost: Vec<(String, Position)> = self
             .halls
@@ -70,7 +71,7 @@
         if at <= self.as_of {
             return false;
         }
-        self.taken_back.remove(hall);
+        self.reinstated_halls.remove(hall);
         self.halls.insert(hall.to_string(), at).is_none()
     }
 
@@ -81,7 +82,7 @@
             return false;
         };
         if since.epoch < at.epoch {
-            self.taken_back.insert(hall.to_string(), at);
+            self.reinstated_halls.insert(hall.to_string(), at);
         }
         self.halls.remove(hall).is_some()
     }
--- a/crates/fleet/src/live_runs.rs
+++ b/crates/fleet/src/live_runs.rs
@@ -1,7 +1,7 @@
 //! Tracks the live run of each host, from the store's list and from the hosts' own messages.
 //!
 //! After a process restarts, the store lists its previous run until the host's record is
-//! written again. A run observed by message replaces the listed one until then.
+//! written again. Until then, a run that sent a message replaces the listed one.
 
 use std::collections::HashMap;
 use std::hash::Hash;
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -1,4 +1,4 @@
-//! One entry as its peers see it, and how two views of it are merged.
+//! Member record of one entry, and the merge of two versions of it.
 
 use std::net::SocketAddr;
 
--- a/crates/fleet/src/position.rs
+++ b/crates/fleet/src/position.rs
@@ -1,7 +1,7 @@
 //! Positions in the history of the platform's store.
 //!
-//! A store restored from an older copy assigns revisions again that stood for other changes
-//! before, so a revision alone doesn't order two changes. Each restore begins an epoch; a
+//! A store restored from an older copy reuses revisions that identified other changes before
+//! the restore, so a revision alone doesn't order two changes. Each restore begins an epoch; a
 //! position is an epoch and a revision in it.
 
 use std::fmt;
--- a/crates/fleet/src/store_followers.rs
+++ b/crates/fleet/src/store_followers.rs
@@ -8,7 +8,7 @@
 
 /// Store followers of a hall; more than one, because one may fail or lag undetected.
 pub const FOLLOWERS: usize = 2;
-/// Entries in a hall from which on only some follow the store; below, little is saved.
+/// Minimum number of entries in a hall for which only some follow the store.
 pub const MIN_ENTRIES: usize = 8;
 
 /// Indices of the store followers among a hall's entries; `None` if all entries follow.
--- a/crates/fleet/src/target_registry/entry.rs
+++ b/crates/fleet/src/target_registry/entry.rs
@@ -8,7 +8,7 @@
 pub(super) enum State {
     /// Its record is in the store.
     Recorded,
-    /// Its record disappeared while that was inconclusive; usable until settled.
+    /// Its record is missing, which doesn't yet mean that the target is gone; still usable.
     Unconfirmed,
     /// It takes no new work.
     Draining,
--- a/crates/fleet/src/target_registry/mod.rs
+++ b/crates/fleet/src/target_registry/mod.rs
@@ -3,7 +3,8 @@
 //! A removed record means that its target is gone, except during an outage or shortly after
 //! it: then the target stays as [`State::Unconfirmed`] until [`TargetRegistry::settle`] removes it.
 //! After a restore from an older copy, a record that had been removed before makes its target
-//! [`State::Restored`], not usable until the record is written again or outlives its expiry.
+//! [`State::Restored`], not usable until the record is written again or still exists after
+//! its expiry.
 
 mod entry;
 mod removed;
@@ -254,10 +255,10 @@
         watch_pause(now.saturating_sub(self.read_at), longest)
     }
 
-    /// Makes restored targets usable whose records exist for longer than the record of a
-    /// target that is gone could. True when the registry changed.
-    pub fn promote_outlived(&mut self, now: Millis) -> bool {
-        if self.outlived_at().is_none_or(|at| now < at) {
+    /// Makes restored targets usable once the record of a target that is gone would have expired.
+    /// True when the registry changed.
+    pub fn promote_restored(&mut self, now: Millis) -> bool {
+        if self.promotes_at().is_none_or(|at| now < at) {
             return false;
         }
         let restored = self.entries.values_mut();
@@ -267,8 +268,8 @@
         true
     }
 
-    /// When [`TargetRegistry::promote_outlived`] is next due; `None` without restored targets.
-    pub fn outlived_at(&self) -> Option<Millis> {
+    /// When [`TargetRegistry::promote_restored`] is next due; `None` without restored targets.
+    pub fn promotes_at(&self) -> Option<Millis> {
         let mut entries = self.entries.values();
         let has_restored = entries.any(|entry| entry.state == State::Restored);
         // Without a known beginning of the epoch, counts from the last full read.
@@ -276,8 +277,8 @@
         has_restored.then_some(began + self.timing.expiry_ms)
     }
 
-    /// Removes unconfirmed targets whose time to write their record again is over. Returns
-    /// their ids.
+    /// Removes unconfirmed targets that didn't write their record again in time. Returns their
+    /// ids.
     pub fn settle(&mut self, now: Millis) -> Vec<String> {
         if self.is_unsettled(now) {
             return Vec::new();
--- a/crates/fleet/tests/suite/evacuated_halls.rs
+++ b/crates/fleet/tests/suite/evacuated_halls.rs
@@ -92,7 +92,7 @@
                     let as_of = newest.saturating_sub(behind);
                     let listed = evacuated_at(&history, as_of);
                     let listed = listed.into_iter().map(|(hall, since)| (hall, at(since)));
-                    entries[entry].take_list(at(as_of), listed.collect());
+                    entries[entry].apply_list(at(as_of), listed.collect());
                     watched[entry] = as_of;
                 }
                 Event::Peer { to, from } => {
@@ -112,8 +112,8 @@
 #[test]
 fn outdated_input_changes_nothing() {
     let mut halls = EvacuatedHalls::default();
-    assert!(halls.take_list(at(5), vec![("a".to_string(), at(4))]));
-    assert!(!halls.take_list(at(3), Vec::new()), "an older list");
+    assert!(halls.apply_list(at(5), vec![("a".to_string(), at(4))]));
+    assert!(!halls.apply_list(at(3), Vec::new()), "an older list");
     assert!(!halls.reinstated("a", at(5)), "already applied");
     assert!(halls.contains("a"));
     assert!(halls.reinstated("a", at(6)));
--- a/crates/fleet/tests/suite/large_registry.rs
+++ b/crates/fleet/tests/suite/large_registry.rs
@@ -10,8 +10,8 @@
     expiry_ms: 5_000,
 };
 
-/// Largest ratio of the durations of a list of four times the records: linear, with a margin
-/// for cache misses.
+/// Maximum ratio of the durations for four times as many records: linear, with a margin for
+/// cache misses.
 const MAX_RATIO: f64 = 4.0 * 2.2;
 
 fn ids(count: usize) -> Vec<String> {
--- a/crates/fleet/tests/suite/membership.rs
+++ b/crates/fleet/tests/suite/membership.rs
@@ -1,7 +1,7 @@
 //! Model-based test of membership under lost messages, pauses, restarts and stops.
 //!
 //! Stops, revisions and versions must never decrease in any view. After the network heals, all
-//! running entries must know each other and no one else.
+//! running entries must list exactly each other.
 
 use std::net::SocketAddr;
 
@@ -309,7 +309,11 @@
         member(5, Stopping::Left, Some(6)),
         member(6, Stopping::Left, Some(5)),
     ];
-    let find = |wanted| members.iter().find(|m: &&Member| m.incarnation == wanted);
+    let find = |incarnation| {
+        members
+            .iter()
+            .find(|m: &&Member| m.incarnation == incarnation)
+    };
     let resolve = |issuer| member::resolve_issuer(issuer, find).map(|m| m.incarnation);
     assert_eq!(resolve(1), Some(3));
     assert_eq!(resolve(3), Some(3));
--- a/crates/fleet/tests/suite/restored_store.rs
+++ b/crates/fleet/tests/suite/restored_store.rs
@@ -114,7 +114,7 @@
             }
         }
         self.registry.reconcile(&present, as_of, now);
-        self.halls.take_list(as_of, halls);
+        self.halls.apply_list(as_of, halls);
         self.at = Some(as_of);
     }
 
@@ -320,7 +320,7 @@
             apply_event(event, &mut store, &mut truth, &mut entries, &mut now);
             for (entry, known) in entries.iter_mut().zip(known) {
                 entry.registry.settle(now);
-                entry.registry.promote_outlived(now);
+                entry.registry.promote_restored(now);
                 for (id, state) in entry.registry.usable() {
                     let drained = entry.drained.contains(&(id.clone(), state.incarnation));
                     prop_assert!(!drained, "{id} is draining but usable after {event:?}");
@@ -336,7 +336,7 @@
             now += SETTLED_MS;
             entry.watch(&store, now);
             entry.registry.settle(now);
-            entry.registry.promote_outlived(now);
+            entry.registry.promote_restored(now);
             entry.halls.drop_unconfirmed();
             let usable = truth.targets.values().filter(|state| !state.draining);
             let usable: Vec<TargetState> = usable.copied().collect();
--- a/crates/fleet/tests/suite/warm_ups.rs
+++ b/crates/fleet/tests/suite/warm_ups.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn warm_up_counts_from_first_sight_of_record() {
+fn warm_up_counts_from_first_read_of_record() {
     let mut warm_ups = WarmUps::default();
     warm_ups.replace(1_000, [record(5, 3_000)].into_iter());
     assert_eq!(warm_ups.until("i-1"), Some(4_000));
--- a/crates/fleet/tests/suite/watch_pause.rs
+++ b/crates/fleet/tests/suite/watch_pause.rs
@@ -14,8 +14,8 @@
         .collect()
 }
 
-/// Hosts that start within 650 ms must soon know each other; until then a queue has several
-/// owners.
+/// Hosts that start within 650 ms of each other must find each other soon; until then a queue
+/// has several owners.
 #[test]
 fn poll_follows_soon_after_last_start() {
     let first_after = polls(LONGEST).into_iter().find(|at| *at >= 650);
--- a/crates/gateway/src/control/evacuated_halls.rs
+++ b/crates/gateway/src/control/evacuated_halls.rs
@@ -16,7 +16,7 @@
             Some((hall.to_string(), item.at))
         });
         let listed = listed.collect();
-        self.update_evacuated("store", |halls| halls.take_list(range.at, listed));
+        self.update_evacuated("store", |halls| halls.apply_list(range.at, listed));
     }
 
     /// Applies evacuations and reinstatements reported by a watch.
--- a/crates/gateway/src/control/settle.rs
+++ b/crates/gateway/src/control/settle.rs
@@ -47,7 +47,7 @@
         let Some(due) = known
             .settles_at()
             .into_iter()
-            .chain(known.outlived_at())
+            .chain(known.promotes_at())
             .min()
         else {
             return;
@@ -58,7 +58,7 @@
             tokio::time::sleep_until(cx.clock.timer(due).into()).await;
             let now = cx.clock.now();
             let gone = registry(&cx).borrow_mut().settle(now);
-            let is_changed = registry(&cx).borrow_mut().promote_outlived(now);
+            let is_changed = registry(&cx).borrow_mut().promote_restored(now);
             if !gone.is_empty() {
                 report_gone(&cx, &gone);
             }
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -129,7 +129,7 @@
         let now = cx.clock.now();
         let run = CrashedRun {
             sent: now.saturating_sub(run.sent_ms),
-            ended: now.saturating_sub(run.ended_ms),
+            crashed_at: now.saturating_sub(run.ended_ms),
             was_suspect: run.was_suspect,
         };
         let counted = self.ledger.borrow_mut().record_crash(now, request, run);
--- a/crates/ledger/src/claim.rs
+++ b/crates/ledger/src/claim.rs
@@ -1,4 +1,4 @@
-//! Claims on a caller's own id, made in the platform's store.
+//! Claims of ids that callers choose, made in the platform's store.
 //!
 //! [`Claim`] drives create-if-absent to a definite end even if store answers are lost: each
 //! claim carries a nonce, and after a lost answer the key is read back. If it holds the
--- a/crates/ledger/tests/suite/claim.rs
+++ b/crates/ledger/tests/suite/claim.rs
@@ -18,7 +18,7 @@
     AnswerLost,
     /// Takes effect at the next call; the answer is lost.
     Delayed,
-    /// Is not sent, and the caller learns this.
+    /// Is not sent, and the caller receives an error.
     NotSent,
 }
 
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -1,7 +1,7 @@
 //! Admission control: decides whether a request is started at all.
 //!
-//! A request that can't meet its deadline is rejected before it costs anything: the wait
-//! behind requests ahead of it and the time of its stages must fit into its deadline.
+//! A request that can't meet its deadline is rejected before any stage runs: the wait for
+//! the requests ahead of it and the time of its stages must fit into its deadline.
 //!
 //! An organisation that holds more than its weighted share of the requests in flight
 //! waits behind the others ([`Holding::is_over_share`]); capacity that they leave unused is
@@ -54,7 +54,7 @@
 }
 
 /// Relative excess allowed to a small organisation, less to a large one: an entry sees only
-/// its part of the traffic, and the halls get different parts of an organisation's.
+/// its part of the traffic, and an organisation's requests spread unevenly over the halls.
 const SLACK: f64 = 1.0;
 /// Absolute excess allowed, for small numbers of requests.
 const SLACK_REQUESTS: f64 = 1.0;
--- a/crates/routing/src/choose.rs
+++ b/crates/routing/src/choose.rs
@@ -1,9 +1,8 @@
 //! Chooses the target of an attempt.
 //!
-//! Ejected targets are used only when all candidates are ejected; draining and already
-//! tried ones must be left out by the caller. Among the others, the engine with the
-//! request's prefix in its cache is preferred while its load is within a bound of the
-//! average. Otherwise the better of two random candidates wins, so that entries with the
+//! Ejected targets are used only when all candidates are ejected; the caller leaves out
+//! draining and already tried ones. The engine that caches the request's prefix is
+//! preferred while its load is within a bound of the average. Otherwise the better of two random candidates wins, so that entries with the
 //! same view don't converge on one target.
 
 use hollowsail_config::TargetKey;
@@ -39,7 +38,7 @@
     Placed,
     /// Holds the first part of an interrupted stream.
     Resumed,
-    /// Chosen by a baseline policy of the benchmark.
+    /// Chosen by a baseline policy.
     Baseline,
 }
 
--- a/crates/routing/src/crash_ledger.rs
+++ b/crates/routing/src/crash_ledger.rs
@@ -2,7 +2,7 @@
 //!
 //! A fatal request crashes each target that begins to run it, and its caller retries it.
 //! The ledger counts crashes by request digest and refuses a request that caused too many.
-//! To keep innocent requests that ran beside it from being blamed:
+//! To avoid refusing innocent requests that ran beside it:
 //!
 //! - A crash counts only for a run that was sent after the crash counted before, so that
 //!   many targets crashing at once count once.
@@ -52,9 +52,8 @@
 pub struct CrashedRun {
     /// When the request was sent to the target.
     pub sent: Millis,
-    /// When the target crashed.
-    pub ended: Millis,
-    /// The entry that ran it had it recorded as a suspect.
+    pub crashed_at: Millis,
+    /// The entry that ran it had recorded it as a suspect.
     pub was_suspect: bool,
 }
 
@@ -114,15 +113,14 @@
             entry.crashes = entry.crashes.max(CRASHES_TO_ISOLATE);
         }
         entry.crashes += 1;
-        entry.last_crash = run.ended;
+        entry.last_crash = run.crashed_at;
         if entry.crashes >= CRASHES_TO_REFUSE {
             entry.refused_until = now + refusal_ms(entry.crashes);
         }
         Some(entry.crashes)
     }
 
-    /// Applies a verdict of another entry or the store. Returns true when it changes the
-    /// record.
+    /// Applies a verdict of another entry or the store. Returns true if it changed the record.
     pub fn learn(&mut self, now: Millis, request: RequestDigest, verdict: CrashVerdict) -> bool {
         let (crashes, refused_until) = match verdict {
             CrashVerdict::Unsuspected => return self.entries.remove(&request).is_some(),
--- a/crates/routing/src/event_loop_lag.rs
+++ b/crates/routing/src/event_loop_lag.rs
@@ -1,21 +1,21 @@
 //! Detects a lagging event loop by how late its own timers fire.
 //!
-//! A host may slow down while its links stay up and its messages are still answered. A
-//! process notices this first by its own timers. One that lags reports so, and isn't
-//! chosen as an owner until its timers have been on time for a while.
+//! A host may slow down while its links stay up and its messages are still answered; late
+//! timers are the first sign. A lagging process reports this, and isn't chosen as an owner
+//! until its timers have been on time for `RECOVERY_MS`.
 
 use crate::Millis;
 
 /// Weight of the newest timer in the average lag.
 const SAMPLE_WEIGHT: f64 = 0.2;
-/// Average lag from which a process counts as lagging. Healthy ones lag by 1 or 2 ms.
+/// Average lag from which a process counts as lagging.
 const LAGGING_MS: f64 = 16.0;
-/// Cap for one timer: a single long task, as at a start, must not trip the detector.
+/// Cap for one timer: a single long task, as at a start, must not count as lagging.
 const MAX_SAMPLE_MS: Millis = 40;
 /// Average lag below which a process may recover.
 const ON_TIME_MS: f64 = 4.0;
-/// Time below [`ON_TIME_MS`] before a process counts as recovered. An owner that handed its
-/// work over is on time at once, even on a slow host.
+/// Time below [`ON_TIME_MS`] before a process counts as recovered. A process that has
+/// handed its work over is on time at once, even on a slow host.
 const RECOVERY_MS: Millis = 4_000;
 
 /// Average timer lag of a process, and whether it counts as lagging.
--- a/crates/routing/src/health.rs
+++ b/crates/routing/src/health.rs
@@ -3,7 +3,7 @@
 //! Slowness is the ratio of an answer's latency to what its stage typically takes,
 //! averaged in logarithms so that a rare long answer weighs little. A target is ejected
 //! after several failures in a row, or when it is far slower than its service's median,
-//! for a time that doubles with each ejection; its record starts afresh afterwards.
+//! for a time that doubles with each ejection; its record is then reset.
 
 use crate::Millis;
 
--- a/crates/routing/src/limit.rs
+++ b/crates/routing/src/limit.rs
@@ -25,7 +25,7 @@
 /// repeated suspicions of one entry take this long to resolve.
 pub const SETTLED_AFTER_MS: Millis = 6_500;
 /// Lowest rate sent to a target, in requests per second: without any requests, the end of
-/// its limit would go unnoticed.
+/// its limit would not be noticed.
 const MIN_PER_S: f64 = 0.2;
 
 /// One sender's share of the rate that a target accepts from all entries.
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -1,7 +1,7 @@
 //! Switches for the routing mechanisms.
 //!
-//! In service all are on. The benchmark switches them off one at a time to measure the
-//! effect of each, and compares against three baseline policies.
+//! In service all are on. For comparisons, each can be switched off, and the choice of
+//! targets can follow one of three baseline policies.
 
 use crate::choose::{choose, Candidate, Choice, Reason};
 
--- a/crates/routing/src/prefill_times.rs
+++ b/crates/routing/src/prefill_times.rs
@@ -24,9 +24,9 @@
 }
 
 impl PrefillTimes {
-    /// Records a first event `ms` after the start of a prompt with `own_tokens` uncached tokens.
-    pub fn record(&mut self, own_tokens: u64, ms: u64) {
-        let (tokens, ms) = (own_tokens as f64, ms as f64);
+    /// Records a first event `ms` milliseconds after the start of a prompt.
+    pub fn record(&mut self, uncached_tokens: u64, ms: u64) {
+        let (tokens, ms) = (uncached_tokens as f64, ms as f64);
         let add = |sum: &mut f64, value: f64| *sum += value - *sum * DECAY;
         add(&mut self.samples, 1.0);
         add(&mut self.tokens, tokens);
@@ -35,10 +35,10 @@
         add(&mut self.tokens_by_ms, tokens * ms);
     }
 
-    /// Expected time to the first event for `own_tokens` uncached tokens, in milliseconds.
-    pub fn expected_ms(&self, own_tokens: u64) -> u64 {
+    /// Expected time to the first event, in milliseconds.
+    pub fn expected_ms(&self, uncached_tokens: u64) -> u64 {
         let (base, per_token) = self.line();
-        (base + per_token * own_tokens as f64).round() as u64
+        (base + per_token * uncached_tokens as f64).round() as u64
     }
 
     /// Base time and time per token in milliseconds, neither negative.
--- a/crates/routing/src/progress.rs
+++ b/crates/routing/src/progress.rs
@@ -1,6 +1,6 @@
 //! Maps how far an attempt got to what is known of its execution.
 //!
-//! "Not run" requires precedence: no byte was passed to a socket, or the target refused in
+//! "Not run" requires proof: no byte was passed to a socket, or the target refused in
 //! a way that the configuration declares final. Anything else without a valid answer is
 //! unknown. [`stage_status`] and [`outcome_of`] fold the attempts of all stages into the
 //! caller's answer.
--- a/crates/routing/src/scheduler/demand_queue.rs
+++ b/crates/routing/src/scheduler/demand_queue.rs
@@ -2,7 +2,7 @@
 //!
 //! Waiting a short time costs callers less than a retry. A demand that can't be placed
 //! in its time is rejected at once with a retry time; these are spaced at the rate of
-//! the engines so that rejected callers don't return together.
+//! the engines so that rejected callers don't all retry at once.
 
 use std::collections::BTreeMap;
 
--- a/crates/routing/src/scheduler/health.rs
+++ b/crates/routing/src/scheduler/health.rs
@@ -87,13 +87,13 @@
     records: Vec<Option<&mut TargetHealth>>,
 ) -> Vec<usize> {
     let existing = records.iter();
-    let mut judged: Vec<TargetHealth> = existing
+    let mut copies: Vec<TargetHealth> = existing
         .map(|record| record.as_deref().cloned().unwrap_or_default())
         .collect();
-    let ejected = health::eject_worst(now, rules, &mut judged);
-    for (record, judged) in records.into_iter().zip(judged) {
+    let ejected = health::eject_worst(now, rules, &mut copies);
+    for (record, copy) in records.into_iter().zip(copies) {
         if let Some(record) = record {
-            *record = judged;
+            *record = copy;
         }
     }
     ejected
--- a/crates/routing/src/scheduler/mod.rs
+++ b/crates/routing/src/scheduler/mod.rs
@@ -44,8 +44,8 @@
 const INITIAL_MS_PER_TOKEN: f64 = 0.02;
 /// Weight of a new sample in the moving average of the prefill time per token.
 const SAMPLE_WEIGHT: f64 = 0.05;
-/// Prefills of fewer tokens are too short to estimate the time per token.
-const MIN_MEASURED_TOKENS: u64 = 500;
+/// Minimum length of a prefill, in tokens, to update the time per token.
+const MIN_SAMPLE_TOKENS: u64 = 500;
 
 /// An engine that may be scheduled, as its record describes it.
 #[derive(Debug, Clone)]
@@ -57,7 +57,7 @@
     pub version: String,
     /// Set while the engine is warming up.
     pub warm_up: Option<WarmUp>,
-    /// Reported limit in requests per second, over all entries.
+    /// Limit that it reports for all entries together, in requests per second.
     pub limit: Option<f64>,
 }
 
@@ -108,7 +108,7 @@
     pub is_suspect: bool,
     /// 0 is the most urgent.
     pub urgency: u8,
-    /// Longest wait in milliseconds while all engines are closed by their limits.
+    /// Maximum wait while all engines are closed by their limits, in milliseconds.
     pub waits_ms: Millis,
 }
 
@@ -141,8 +141,8 @@
 
 impl Engine {
     /// Earliest time of the next request.
-    fn opens(&self, now: Millis, part: LimitShare) -> Millis {
-        let by_limit = self.limit_gate.opens(now, self.limit, part);
+    fn opens(&self, now: Millis, share: LimitShare) -> Millis {
+        let by_limit = self.limit_gate.opens(now, self.limit, share);
         self.warm_up_gate.opens(now).max(by_limit)
     }
 }
@@ -233,8 +233,8 @@
         self.order.sort();
     }
 
-    pub fn set_limit_share(&mut self, part: LimitShare) {
-        self.limit_share = part;
+    pub fn set_limit_share(&mut self, share: LimitShare) {
+        self.limit_share = share;
     }
 
     /// Estimates when a demand behind `ahead` others gets an engine that is closed only by
@@ -245,16 +245,16 @@
         demand: &Demand<K>,
         ahead: usize,
     ) -> Option<QueueEstimate> {
-        let part = self.limit_share;
+        let share = self.limit_share;
         let engines = self.allowed(demand).map(|key| &self.engines[key]);
         let limited =
             engines.filter(|engine| engine.limit.is_some() && engine.warm_up_gate.is_open(now));
         let first = limited
             .clone()
-            .map(|engine| engine.opens(now, part))
+            .map(|engine| engine.opens(now, share))
             .min()?;
         let rates = limited.filter_map(|engine| engine.limit);
-        let per_s: f64 = rates.map(|per_s| part.rate(per_s)).sum();
+        let per_s: f64 = rates.map(|per_s| share.rate(per_s)).sum();
         let behind_ms = (ahead as f64 * 1_000.0 / per_s) as Millis;
         Some(QueueEstimate {
             wait_ms: first - now + behind_ms,
@@ -324,7 +324,7 @@
     }
 
     /// Healthy engines with the fewest suspects, then the fewest requests, so that a crash
-    /// takes the least work with it and implicates no other suspect.
+    /// interrupts the least work and implicates no other suspect.
     fn least_affected<'a>(&self, now: Millis, hall: &str, keys: Vec<&'a K>) -> Vec<&'a K> {
         let load_of = |key: &K| {
             let engine = &self.engines[key];
@@ -337,12 +337,13 @@
     }
 
     /// Engines without suspects, as long as few engines run any. After many targets crashed
-    /// at once, most suspects are innocent and isolating them would take up the group.
+    /// at once, most suspects are innocent and isolating them would leave too few engines for
+    /// other requests.
     fn without_suspects<'a>(&self, keys: Vec<&'a K>) -> Vec<&'a K> {
         let is_free = |key: &&&K| self.engines[**key].suspects == 0;
         let free = keys.iter().filter(is_free).count();
-        let taken = keys.len() - free;
-        if taken == 0 || taken as f64 > keys.len() as f64 * MAX_ISOLATED_SHARE {
+        let isolating = keys.len() - free;
+        if isolating == 0 || isolating as f64 > keys.len() as f64 * MAX_ISOLATED_SHARE {
             return keys;
         }
         keys.into_iter().filter(|key| is_free(&key)).collect()
@@ -356,7 +357,7 @@
         affinity: u64,
     ) -> EngineCandidate {
         let engine = &self.engines[key];
-        let outside = demand
+        let remote = demand
             .results
             .iter()
             .filter(|(hall, _)| *hall != engine.hall);
@@ -371,7 +372,7 @@
             pending_prefill_tokens: engine.pending_prefill_tokens,
             slowness: engine.health.slowness(&demand.from_hall),
             ejected: engine.health.is_ejected(&demand.from_hall, now),
-            remote_bytes: outside.map(|(_, bytes)| bytes).sum(),
+            remote_bytes: remote.map(|(_, bytes)| bytes).sum(),
         }
     }
 
@@ -421,19 +422,19 @@
             return;
         }
         let prefilled = std::mem::take(&mut placement.pending_prefill_tokens);
-        let took = (now - placement.placed_at) as f64;
+        let elapsed_ms = (now - placement.placed_at) as f64;
         let tokens = placement.tokens_ahead;
         let expected = expected_ms(self.ms_per_token, tokens);
         if let Some(engine) = self.engines.get_mut(&placement.engine) {
             engine.pending_prefill_tokens = engine.pending_prefill_tokens.saturating_sub(prefilled);
-            let observation = Observation::Answered(took as Millis);
+            let observation = Observation::Answered(elapsed_ms as Millis);
             engine
                 .health
                 .observe(&placement.from_hall, observation, expected);
         }
-        if tokens >= MIN_MEASURED_TOKENS {
-            let measured = (took - BASE_LATENCY_MS).max(0.0) / tokens as f64;
-            self.ms_per_token += SAMPLE_WEIGHT * (measured - self.ms_per_token);
+        if tokens >= MIN_SAMPLE_TOKENS {
+            let sample = (elapsed_ms - BASE_LATENCY_MS).max(0.0) / tokens as f64;
+            self.ms_per_token += SAMPLE_WEIGHT * (sample - self.ms_per_token);
         }
         let engine = placement.engine.clone();
         if let Some(cached) = self.cached.get_mut(&placement.part) {
--- a/crates/routing/src/warm_up.rs
+++ b/crates/routing/src/warm_up.rs
@@ -9,8 +9,8 @@
 use crate::Millis;
 
 /// Share of the rate granted by a recent owner of a scheduler. Two entries may both assume
-/// ownership for some seconds; with the requests that bypass them they stay below the 1.5
-/// times that operators allow.
+/// ownership for some seconds; together with the requests that bypass the scheduler they stay
+/// below 1.5 times the rate, which operators allow.
 pub const SCHEDULER_SHARE: f64 = 0.6;
 /// Share of the rate granted by a settled owner of a scheduler.
 pub const SETTLED_SCHEDULER_SHARE: f64 = 0.75;
--- a/crates/routing/tests/suite/crash_ledger.rs
+++ b/crates/routing/tests/suite/crash_ledger.rs
@@ -1,4 +1,4 @@
-//! The crash ledger tells requests that crash targets from those that ran beside them.
+//! Detection of requests that crash targets, among those that ran beside them.
 
 use hollowsail_routing::crash_ledger::{FIRST_REFUSAL_MS, MAX_REFUSAL_MS};
 use hollowsail_routing::{
@@ -26,7 +26,7 @@
         request,
         CrashedRun {
             sent,
-            ended: now,
+            crashed_at: now,
             was_suspect: false,
         },
     )
@@ -67,12 +67,12 @@
     let mut ledger = CrashLedger::default();
     let first = CrashedRun {
         sent: 900,
-        ended: 1_000,
+        crashed_at: 1_000,
         was_suspect: false,
     };
     let second = CrashedRun {
         sent: 993,
-        ended: 1_100,
+        crashed_at: 1_100,
         was_suspect: false,
     };
     assert_eq!(ledger.record_crash(1_050, digest(1), first), Some(1));
@@ -171,7 +171,7 @@
 
 /// Engines of the simulation.
 const ENGINES: usize = 12;
-/// Time until a crashed engine is back.
+/// Time until a crashed engine serves again.
 const DOWN_MS: Millis = 3_000;
 /// Duration of a generation.
 const RUN_MS: Millis = 900;
@@ -185,7 +185,7 @@
 struct Load {
     /// Number of fatal requests; these have the lowest numbers.
     fatal: u32,
-    /// Most attempts for an innocent request.
+    /// Maximum number of attempts for an innocent request.
     attempts: u32,
     has_ledger: bool,
 }
@@ -350,7 +350,7 @@
             let request = digest(run.request);
             let crash = CrashedRun {
                 sent: run.sent,
-                ended: now,
+                crashed_at: now,
                 was_suspect: self.ledger.verdict(now, request) == CrashVerdict::Suspect,
             };
             self.ledger.record_crash(now, request, crash);
@@ -422,7 +422,7 @@
     let mut ledger = CrashLedger::default();
     let run = CrashedRun {
         sent: 500,
-        ended: 900,
+        crashed_at: 900,
         was_suspect: true,
     };
     assert_eq!(ledger.record_crash(1_000, digest(1), run), Some(3));
@@ -446,7 +446,7 @@
     assert_eq!(record_crash(&mut ledger, 2_000, digest(1), 1_500), Some(2));
     let late = CrashedRun {
         sent: 1_450,
-        ended: 2_000,
+        crashed_at: 2_000,
         was_suspect: true,
     };
     assert_eq!(ledger.record_crash(2_020, digest(1), late), None);
--- a/crates/routing/tests/suite/limit.rs
+++ b/crates/routing/tests/suite/limit.rs
@@ -18,12 +18,12 @@
     LimitShare::owned_for(0)
 }
 
-/// Most requests allowed in a window under a limit of `per_s`.
+/// Maximum number of requests in a window under a limit of `per_s`.
 fn allowed(per_s: f64) -> usize {
     (per_s * 1.5 * WINDOW_MS as f64 / 1_000.0 + 5.0) as usize
 }
 
-fn most_in_window(sent: &[Millis]) -> usize {
+fn max_in_window(sent: &[Millis]) -> usize {
     let within = |last: Millis| {
         let in_window = |time: &&Millis| **time <= last && **time + WINDOW_MS > last;
         sent.iter().filter(in_window).count()
@@ -48,27 +48,27 @@
 fn settled_owner_uses_nearly_all_of_the_limit() {
     for per_s in [0.2, 0.5, 1.0, 3.0, 17.0, 300.0] {
         let sent = all_sends(per_s, settled(), 40_000);
-        let most = most_in_window(&sent);
+        let max = max_in_window(&sent);
         assert!(
-            most <= (per_s * 4.0).ceil() as usize + 2,
-            "{most} requests at a limit of {per_s}"
+            max <= (per_s * 4.0).ceil() as usize + 2,
+            "{max} requests at a limit of {per_s}"
         );
         let used = sent.len() as f64 / (per_s * 40.0);
         assert!(used > 0.9, "share {used} used at a limit of {per_s}");
     }
 }
 
-/// The previous owner still sends while the next one has started.
+/// The previous owner still sends after the next one has started.
 #[test]
 fn two_owners_stay_below_allowed_rate() {
     for per_s in [0.2, 1.0, 3.0, 17.0, 300.0] {
         let mut sent = all_sends(per_s, settled(), 12_000);
         sent.extend(all_sends(per_s, recent(), 12_000));
         sent.sort_unstable();
-        let most = most_in_window(&sent);
+        let max = max_in_window(&sent);
         assert!(
-            most <= allowed(per_s),
-            "{most} requests at a limit of {per_s}"
+            max <= allowed(per_s),
+            "{max} requests at a limit of {per_s}"
         );
     }
 }
@@ -81,11 +81,11 @@
             .flat_map(|_| all_sends(per_s, LimitShare::unlisted(), 12_000))
             .collect();
         sent.sort_unstable();
-        let most = most_in_window(&sent);
+        let max = max_in_window(&sent);
         // Each may start with one request.
         assert!(
-            most <= allowed(per_s) + 8,
-            "{most} requests at a limit of {per_s}"
+            max <= allowed(per_s) + 8,
+            "{max} requests at a limit of {per_s}"
         );
     }
 }
@@ -140,7 +140,7 @@
                 }
             }
         }
-        prop_assert!(most_in_window(&sent) <= allowed(highest));
+        prop_assert!(max_in_window(&sent) <= allowed(highest));
     }
 }
 
--- a/crates/routing/tests/suite/prefill_times.rs
+++ b/crates/routing/tests/suite/prefill_times.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn equal_lengths_give_a_flat_line_that_decays() {
+fn equal_lengths_give_a_flat_decaying_line() {
     let mut times = PrefillTimes::default();
     (0..100).for_each(|_| times.record(1_000, 300));
     assert_eq!(times.expected_ms(5_000), 300);
--- a/crates/routing/tests/suite/warm_up.rs
+++ b/crates/routing/tests/suite/warm_up.rs
@@ -12,23 +12,23 @@
 
 use crate::config;
 
-/// Most that operators allow during warm-up, as a multiple of the rate.
+/// Maximum rate that operators allow during warm-up, as a multiple of the accepted rate.
 const OVERSHOOT: f64 = 1.5;
 /// Requests allowed beyond that.
 const SLACK: f64 = 5.0;
 
-/// Most arrivals within any second.
-fn most_in_a_second(arrivals: &[u64]) -> usize {
+/// Maximum number of arrivals within one second.
+fn max_in_a_second(arrivals: &[u64]) -> usize {
     let mut window = VecDeque::new();
-    let mut most = 0;
+    let mut max = 0;
     for &time in arrivals {
         window.push_back(time);
         while window.front().is_some_and(|first| time - first >= 1_000) {
             window.pop_front();
         }
-        most = most.max(window.len());
+        max = max.max(window.len());
     }
-    most
+    max
 }
 
 proptest! {
@@ -77,10 +77,10 @@
             }
         }
         arrivals.sort_unstable();
-        let most = most_in_a_second(&arrivals) as f64;
+        let max = max_in_a_second(&arrivals) as f64;
         prop_assert!(
-            most <= per_s * OVERSHOOT + SLACK,
-            "{most} requests in a second at a rate of {per_s}"
+            max <= per_s * OVERSHOOT + SLACK,
+            "{max} requests in a second at a rate of {per_s}"
         );
     }
 }
@@ -126,8 +126,8 @@
     };
     let engines = [
         engine("warm", None),
-        engine("cold-1", warm_up(3_000)),
-        engine("cold-2", warm_up(3_000)),
+        engine("warming-1", warm_up(3_000)),
+        engine("warming-2", warm_up(3_000)),
     ];
     scheduler.set_engines(0, &engines);
     let mut placed_on: Vec<&str> = Vec::new();
@@ -149,7 +149,7 @@
         placed_on.push(placement.expect("one engine is warm").1);
     }
     let count = |key: &str| placed_on.iter().filter(|engine| **engine == key).count();
-    for key in ["cold-1", "cold-2"] {
+    for key in ["warming-1", "warming-2"] {
         assert!((10..=18).contains(&count(key)), "{} placements", count(key));
     }
 }
@@ -158,7 +158,7 @@
 fn closed_engines_get_no_placement() {
     let mut scheduler = EngineScheduler::default();
     let engine = SchedulableEngine {
-        key: "cold",
+        key: "warming",
         slots: 64,
         hall: "hall-a".to_string(),
         version: String::new(),
--- a/crates/stages/src/batch/calls.rs
+++ b/crates/stages/src/batch/calls.rs
@@ -111,24 +111,24 @@
     /// Queues the pieces of overdue calls again for other workers. Returns the workers of
     /// these calls.
     pub fn take_overdue(&mut self, now: Millis) -> Vec<WorkerKey> {
-        let mut slow = Vec::new();
+        let mut workers = Vec::new();
         for call in self.calls.values_mut() {
             if call.overdue || ((now - call.started) as f64) < call.limit_ms() {
                 continue;
             }
             call.overdue = true;
-            slow.push(call.worker);
+            workers.push(call.worker);
             for StartedPiece { key, .. } in &call.pieces {
                 if let Some(piece) = self.pieces.get(*key) {
                     self.waiting.insert((piece.rank, *key));
                 }
             }
         }
-        for worker in &slow {
+        for worker in &workers {
             if let Some(worker) = self.workers.get_mut(*worker) {
                 worker.mark_slow();
             }
         }
-        slow
+        workers
     }
 }
--- a/crates/stages/src/batch/choose.rs
+++ b/crates/stages/src/batch/choose.rs
@@ -14,9 +14,9 @@
 enum GroupOrder {
     /// Some of its pieces were started; partial results only occupy worker memory.
     Started,
-    /// In time only if it starts with this call.
+    /// Meets its due time only if it starts with this call.
     LastChance { priority: u8 },
-    /// In time with a later call too, or already late.
+    /// Can also start with a later call, or is already late.
     Other { priority: u8, is_late: bool },
 }
 
@@ -76,9 +76,8 @@
         })
     }
 
-    /// True when no other healthy worker in its hall has more free memory. Memory is
-    /// reserved for a large group at this worker only; reserved at all workers, it would
-    /// stay unused.
+    /// True when no other healthy worker in its hall has more free memory. Memory for a large
+    /// group is reserved at this worker only; if all workers reserved it, most would stay unused.
     fn has_most_free_memory(&self, worker: WorkerKey, now: Millis) -> bool {
         let hall = self.workers[worker].hall;
         let own = (self.free_memory(worker, now), worker);
--- a/crates/stages/src/batch/workers.rs
+++ b/crates/stages/src/batch/workers.rs
@@ -30,8 +30,8 @@
 /// Share of a worker's memory that is filled; the rest absorbs results larger than
 /// declared.
 const USABLE_MEMORY_SHARE: f64 = 0.95;
-/// One in this many calls to a rate-limited worker releases results: with more, little of
-/// the limit would remain for work; with none, the worker's memory would fill up.
+/// One in this many calls to a rate-limited worker releases results: more would leave little
+/// of the limit for work, and without any the worker's memory would fill up.
 const CALLS_PER_RELEASE: f64 = 5.0;
 /// How long a pending release takes precedence over work at a rate-limited worker, in
 /// milliseconds. Must exceed the owner's retry interval, or work would take every open
--- a/crates/stages/src/graph.rs
+++ b/crates/stages/src/graph.rs
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Lets final stages start independently, for comparison with the aligned start.
+    /// Starts each final stage as soon as its own inputs are complete.
     pub fn with_independent_final_stages(self) -> Self {
         StageGraph {
             align_final_stages: false,
--- a/crates/stages/tests/suite/batch.rs
+++ b/crates/stages/tests/suite/batch.rs
@@ -173,10 +173,10 @@
     assert_eq!(groups(&queue, &third)[..2], [2, 2]);
 }
 
-/// Two workers with about half of their memory free; the first group fits at neither, the
-/// one behind it at both.
+/// Two workers have about half of their memory free; the first group fits at neither, the
+/// second at both.
 #[test]
-fn memory_is_reserved_at_roomiest_worker_only() {
+fn memory_is_reserved_at_one_worker_only() {
     let mut queue = BatchQueue::new(PoolRules {
         running: 2,
         ..rules()
@@ -185,7 +185,7 @@
         result_bytes,
         ..order(group)
     };
-    let roomier = queue.add_worker(HERE);
+    let reserving = queue.add_worker(HERE);
     push(&mut queue, sized(1, 400_000), 1);
     queue.next_call(0).expect("the group fits");
     let other = queue.add_worker(HERE);
@@ -198,14 +198,14 @@
     push(&mut queue, sized(4, 300_000), 1);
     let third = queue
         .next_call(0)
-        .expect("group 4 goes where nothing is reserved for group 3");
+        .expect("group 4 fits at the worker without a reservation");
     assert_eq!(third.worker, other);
     assert_eq!(groups(&queue, &third), [4]);
     assert!(
         queue.next_call(0).is_none(),
         "the other worker's memory is reserved for group 3"
     );
-    queue.release_memory(roomier, 400_000);
+    queue.release_memory(reserving, 400_000);
     let fourth = queue.next_call(1).expect("there is enough memory");
     assert_eq!(groups(&queue, &fourth), [3, 3]);
 }
@@ -489,7 +489,7 @@
 }
 
 #[test]
-fn group_that_can_wait_yields_to_one_that_cannot() {
+fn urgent_group_precedes_one_that_can_wait() {
     assert_eq!(first_two_groups(300, 200), [2, 1]);
     assert_eq!(first_two_groups(200, 200), [1, 2], "neither can wait");
     assert_eq!(first_two_groups(300, 300), [1, 2], "both can wait");
--- a/crates/stages/tests/suite/random_graph.rs
+++ b/crates/stages/tests/suite/random_graph.rs
@@ -5,13 +5,13 @@
 use hollowsail_stages::{PieceIndex, StageGraph, StageSpec};
 use proptest::prelude::*;
 
-fn sizes() -> impl Strategy<Value = Vec<StageSpec>> {
+fn specs() -> impl Strategy<Value = Vec<StageSpec>> {
     let stage = (1usize..4, any::<u8>());
     prop::collection::vec(stage, 1..5).prop_map(|stages| {
         let dependencies =
             |stage: usize, mask: u8| (0..stage).filter(|bit| mask & (1 << bit) != 0).collect();
-        let sized = stages.into_iter().enumerate();
-        sized
+        let numbered = stages.into_iter().enumerate();
+        numbered
             .map(|(stage, (pieces, mask))| StageSpec {
                 pieces,
                 after: dependencies(stage, mask),
@@ -30,17 +30,17 @@
 proptest! {
     #[test]
     fn inputs_are_complete_when_pieces_start(
-        sizes in sizes(),
+        specs in specs(),
         choices in prop::collection::vec((any::<u16>(), 0u8..10), 1..400),
     ) {
-        let mut graph = StageGraph::new(sizes.clone());
+        let mut graph = StageGraph::new(specs.clone());
         let mut workers = Workers::default();
         let mut running: Vec<(PieceIndex, Vec<String>)> = Vec::new();
         let mut choices = choices.into_iter();
         while !graph.is_done() {
             for piece in graph.start_ready() {
                 let inputs = graph.inputs_of(piece.stage);
-                let needed: usize = sizes[piece.stage].after.iter().map(|&s| sizes[s].pieces).sum();
+                let needed: usize = specs[piece.stage].after.iter().map(|&s| specs[s].pieces).sum();
                 let distinct: HashSet<_> = inputs.iter().collect();
                 prop_assert_eq!(distinct.len(), needed, "every input exactly once");
                 prop_assert!(inputs.iter().all(|input| !input.is_empty()));
@@ -71,9 +71,9 @@
         let inputs = graph.final_inputs();
         let distinct: HashSet<_> = inputs.iter().collect();
         prop_assert_eq!(distinct.len(), inputs.len());
-        let finals: usize = (0..sizes.len())
-            .filter(|stage| !sizes.iter().any(|size| size.after.contains(stage)))
-            .map(|stage| sizes[stage].pieces)
+        let finals: usize = (0..specs.len())
+            .filter(|stage| !specs.iter().any(|spec| spec.after.contains(stage)))
+            .map(|stage| specs[stage].pieces)
             .sum();
         prop_assert_eq!(inputs.len(), finals);
     }
--- a/crates/stages/tests/suite/random_queue.rs
+++ b/crates/stages/tests/suite/random_queue.rs
@@ -33,7 +33,7 @@
     Cancel {
         index: usize,
     },
-    Free {
+    Release {
         index: usize,
     },
     AddWorker {
@@ -67,7 +67,7 @@
         6 => Just(Event::Call),
         4 => (any::<usize>(), 0u8..3).prop_map(|(index, call_end)| Event::End { index, call_end }),
         1 => any::<usize>().prop_map(|index| Event::Cancel { index }),
-        4 => any::<usize>().prop_map(|index| Event::Free { index }),
+        4 => any::<usize>().prop_map(|index| Event::Release { index }),
         1 => (0u16..2).prop_map(|hall| Event::AddWorker { hall }),
         1 => any::<usize>().prop_map(|index| Event::RemoveWorker { index }),
         3 => (1u64..400).prop_map(|ms| Event::Advance { ms }),
@@ -80,7 +80,7 @@
     workers: Vec<WorkerKey>,
     removed: HashSet<WorkerKey>,
     running: Vec<StartedCall>,
-    /// Results at workers that weren't released yet.
+    /// Results that workers retain: worker and bytes.
     unreleased: Vec<(WorkerKey, u64)>,
     unfinished: HashMap<PieceKey, u64>,
 }
@@ -177,7 +177,7 @@
                 world.unfinished.remove(&key);
             }
         }
-        Event::Free { index } => {
+        Event::Release { index } => {
             if !world.unreleased.is_empty() {
                 let (worker, bytes) = world.unreleased.swap_remove(index % world.unreleased.len());
                 queue.release_memory(worker, bytes);
