--- a/crates/gateway/src/callers/connection.rs
+++ b/crates/gateway/src/callers/connection.rs
@@ -89,7 +89,7 @@
             () = cx.close_idle.notified() => connection.as_mut().graceful_shutdown(),
             () = activity.timed_out(&limits) => {
                 if let Phase::Head(_) = activity.phase() {
-                    cx.log.line(events::BAD_INPUT, format_args!("why=\"a head came too slowly\""));
+                    cx.log.line(events::BAD_INPUT, format_args!("why=\"request head timed out\""));
                 }
                 return;
             }
--- a/crates/gateway/src/callers/listen.rs
+++ b/crates/gateway/src/callers/listen.rs
@@ -47,14 +47,14 @@
     }
 }
 
-/// Passes each accepted connection to `take` until the thread ends, and retries failed accepts
-/// after a pause. `what` names the peer in log messages.
-pub async fn accept_each(listener: TcpListener, what: &str, mut take: impl FnMut(TcpStream)) {
+/// Passes each accepted connection to `handle` until the thread ends, and retries failed accepts
+/// after a pause. `label` names the remote side in log messages.
+pub async fn accept_each(listener: TcpListener, label: &str, mut handle: impl FnMut(TcpStream)) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => take(stream),
+            Ok((stream, _)) => handle(stream),
             Err(err) => {
-                log::warn!("cannot accept {what}: {err}; retrying");
+                log::warn!("cannot accept {label}: {err}; retrying");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
--- a/crates/gateway/src/control/epoch.rs
+++ b/crates/gateway/src/control/epoch.rs
@@ -8,7 +8,7 @@
 //! | configuration | operators | the newest version stays in force | the same |
 //! | evacuated halls | operators | stay evacuated | reinstated after [`HALL_RETENTION`] |
 //! | a target's record, missing | the target | the target stays in use | gone after [`RECORD_RETURN_MS`] |
-//! | a target's record, listed though it had gone | the target, if it still runs | it stays out of use | in use once the record has outlived its expiry time |
+//! | a target's record, listed although it was gone | the target, if it still runs | it stays out of use | in use once the record has outlived its expiry time |
 //! | that a target is draining | the target | stays draining until its next incarnation | the same |
 //! | an entry's record | that entry, within [`SPREAD`] | the entry counts as live | gone once its lease would have expired |
 //! | refused requests | the entry that wrote them | stay refused for the stated time | the same |
--- a/crates/gateway/src/control/follow.rs
+++ b/crates/gateway/src/control/follow.rs
@@ -47,19 +47,19 @@
 }
 
 /// Follows the keys until the thread ends.
-pub async fn follow(cx: Rc<Control>, keys: Subscription) {
+pub async fn follow(cx: Rc<Control>, subscription: Subscription) {
     let mut backoff = Backoff::default();
-    let mut allow_stale = keys.allow_stale_start;
+    let mut allow_stale = subscription.allow_stale_start;
     loop {
-        let result = follow_once(&cx, &keys, allow_stale, &mut backoff).await;
+        let result = follow_once(&cx, &subscription, allow_stale, &mut backoff).await;
         allow_stale = false;
         match result {
             Ok(()) => {}
-            Err(StoreError::HistoryLost) => cx.delay_in_new_epoch(keys.keys).await,
+            Err(StoreError::HistoryLost) => cx.delay_in_new_epoch(subscription.keys).await,
             Err(err) => {
                 cx.store_failed(&err);
                 backoff.pause().await;
-                if !keys.probes {
+                if !subscription.probes {
                     cx.until_store_reachable().await;
                 }
             }
@@ -70,31 +70,34 @@
 /// Reads the list, then applies changes until the store fails.
 async fn follow_once(
     cx: &Rc<Control>,
-    keys: &Subscription,
+    subscription: &Subscription,
     allow_stale: bool,
     backoff: &mut Backoff,
 ) -> Result<(), StoreError> {
-    let mut position = match read_all(cx, keys, allow_stale).await? {
+    let mut position = match read_all(cx, subscription, allow_stale).await? {
         ListSource::Store(range) => {
             if !allow_stale {
                 // A stale response doesn't show that the store is reachable.
                 cx.store_answered();
             }
-            cx.apply_list(keys, &range)
+            cx.apply_list(subscription, &range)
         }
         ListSource::HallPeer(at) => {
-            cx.feeds.restart_at(keys.keys, at);
+            cx.feeds.restart_at(subscription.keys, at);
             tokio::time::sleep(PAUSE_AFTER_HALL_LIST).await;
             at
         }
     };
     backoff.reset();
     loop {
-        match cx.next_changes(keys.keys, keys.prefix, position).await? {
+        match cx
+            .next_changes(subscription.keys, subscription.prefix, position)
+            .await?
+        {
             (Received::Changes(changes), origin) => {
                 position = changes.at;
-                cx.feeds.extend(keys.keys, &changes);
-                let pause = (keys.on_changes)(cx, &changes, origin);
+                cx.feeds.extend(subscription.keys, &changes);
+                let pause = (subscription.on_changes)(cx, &changes, origin);
                 let pause = match origin {
                     // The store sends some hundreds of changes at a time, so more may be
                     // pending.
@@ -106,7 +109,7 @@
             }
             (Received::List(range), origin) => {
                 cx.note_follower_outage(origin);
-                position = cx.apply_list(keys, &range);
+                position = cx.apply_list(subscription, &range);
             }
         }
     }
@@ -124,12 +127,12 @@
 /// entries times targets.
 async fn read_all(
     cx: &Rc<Control>,
-    keys: &Subscription,
+    subscription: &Subscription,
     allow_stale: bool,
 ) -> Result<ListSource, StoreError> {
-    let may_query = keys.keys == KeyGroup::Targets;
+    let may_query = subscription.keys == KeyGroup::Targets;
     let mut has_queried = false;
-    let mut reading = cx.store.read_pages(keys.prefix, allow_stale);
+    let mut reading = cx.store.read_pages(subscription.prefix, allow_stale);
     loop {
         if may_query && !has_queried && cx.may_query_hall() {
             has_queried = true;
@@ -139,7 +142,7 @@
         }
         let items = reading.next_page().await?;
         cx.note_epoch();
-        (keys.on_page)(cx, items);
+        (subscription.on_page)(cx, items);
         if reading.is_complete() {
             return Ok(ListSource::Store(reading.into_range()));
         }
@@ -149,11 +152,13 @@
 
 impl Control {
     /// Applies a complete list from the store or a store follower. Returns its position.
-    fn apply_list(self: &Rc<Self>, keys: &Subscription, range: &Range) -> Position {
-        (keys.on_list)(self, range);
-        match keys.keys {
-            KeyGroup::Targets => self.feeds.restart_at(keys.keys, range.at),
-            KeyGroup::Operators | KeyGroup::Entries => self.feeds.restart_with(keys.keys, range),
+    fn apply_list(self: &Rc<Self>, subscription: &Subscription, range: &Range) -> Position {
+        (subscription.on_list)(self, range);
+        match subscription.keys {
+            KeyGroup::Targets => self.feeds.restart_at(subscription.keys, range.at),
+            KeyGroup::Operators | KeyGroup::Entries => {
+                self.feeds.restart_with(subscription.keys, range)
+            }
         }
         range.at
     }
--- a/crates/gateway/src/control/peer_state.rs
+++ b/crates/gateway/src/control/peer_state.rs
@@ -63,7 +63,7 @@
     let request = StateRequest {
         configuration: cx.configuration_version(),
         records: cx.records_at.get(),
-        emptied: cx.evacuated.borrow().as_of(),
+        evacuated: cx.evacuated.borrow().as_of(),
     };
     query::query(
         &Pool::new(addr, rules),
@@ -77,8 +77,8 @@
 impl Control {
     /// Applies the state that a peer returned.
     fn apply_state(self: &Rc<Self>, answer: StateResponse) {
-        if let Some(emptied) = answer.emptied {
-            self.adopt_evacuated(emptied);
+        if let Some(evacuated) = answer.evacuated {
+            self.adopt_evacuated(evacuated);
         }
         self.merge_orders(answer.orders);
         if let Some(source) = &answer.configuration {
--- a/crates/gateway/src/control/refusals.rs
+++ b/crates/gateway/src/control/refusals.rs
@@ -46,7 +46,7 @@
                 let Some(refusal) = refusal else { return };
                 write_with_retries(&cx, refusal).await;
                 written.retain(|known| known.request != refusal.request);
-                let until = BootInstant::now() + refusal.lasts;
+                let until = BootInstant::now() + refusal.duration;
                 written.push(Written { request: refusal.request, until });
             }
             () = cx.store.wait_for_later_epoch(epoch) => {
@@ -54,8 +54,8 @@
                 epoch::random_delay().await;
                 written.retain(|known| BootInstant::now() < known.until);
                 for known in &written {
-                    let lasts = known.until.saturating_since(BootInstant::now());
-                    write_with_retries(&cx, NewRefusal { request: known.request, lasts }).await;
+                    let duration = known.until.saturating_since(BootInstant::now());
+                    write_with_retries(&cx, NewRefusal { request: known.request, duration }).await;
                 }
             }
         }
@@ -78,10 +78,10 @@
 }
 
 async fn write(cx: &Control, refusal: NewRefusal) -> Result<(), StoreError> {
-    let lease = cx.store.lease(refusal.lasts.max(cx.min_lease)).await?;
+    let lease = cx.store.lease(refusal.duration.max(cx.min_lease)).await?;
     let key = format!("{PREFIX}{}", refusal.request);
     let record = RefusalRecord {
-        for_ms: refusal.lasts.as_millis() as Millis,
+        for_ms: refusal.duration.as_millis() as Millis,
     };
     let value = rmp_serde::to_vec(&record).expect("this type always encodes");
     // Another entry's record, or that of an expired refusal, may be present.
--- a/crates/gateway/src/control/source.rs
+++ b/crates/gateway/src/control/source.rs
@@ -126,7 +126,7 @@
                         Origin::Follower { is_unsettled },
                     ))
                 }
-                Ok(FeedResponse::Whole {
+                Ok(FeedResponse::List {
                     range,
                     is_unsettled,
                 }) => return Ok((Received::List(range), Origin::Follower { is_unsettled })),
@@ -139,7 +139,7 @@
                     }
                     return self.watch_store(prefix, after, STARTUP_WATCH_WAIT).await;
                 }
-                Ok(FeedResponse::NotReading) => {
+                Ok(FeedResponse::NotFollowing) => {
                     self.skip(
                         &follower,
                         NOT_FOLLOWING_SKIP_MS,
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -64,7 +64,7 @@
 pub struct NewRefusal {
     pub request: RequestDigest,
     /// Duration of the refusal.
-    pub lasts: Duration,
+    pub duration: Duration,
 }
 
 /// Receives the refusals that the control thread writes to the store.
@@ -120,7 +120,7 @@
         let run = run.report(self.is_suspect(cx, || request));
         match cx.peers.owner_of(cx, &format!("{PREFIX}{request}")) {
             Owner::Me => self.count(cx, request, run),
-            Owner::Peer(link) => link.send(Message::TargetEnded { request, run }),
+            Owner::Peer(link) => link.send(Message::TargetCrashed { request, run }),
         }
     }
 
@@ -141,8 +141,8 @@
         }
         broadcast(cx, request, verdict);
         if let CrashVerdict::Refused { until } = verdict {
-            let lasts = Duration::from_millis(until - now);
-            let refusal = NewRefusal { request, lasts };
+            let duration = Duration::from_millis(until - now);
+            let refusal = NewRefusal { request, duration };
             if let Err(err) = self.to_store.try_send(refusal) {
                 log::warn!(
                     "cannot store the refusal of {request}: {err}; \
@@ -231,10 +231,7 @@
         },
     };
     for link in cx.peers.links_to_all(cx) {
-        link.send(Message::Standing {
-            request,
-            standing: verdict,
-        });
+        link.send(Message::CrashVerdict { request, verdict });
     }
 }
 
--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -3,7 +3,7 @@
 //! Control records here what it receives from its watches while this entry is a store follower
 //! of its hall ([`hollowsail_fleet::store_followers`]). Peers request changes with a [`FeedRequest`],
 //! which waits like a watch of the store. An entry that is not a follower or cannot reach the
-//! store says so at once, and the peer tries another entry.
+//! store responds with that at once, and the peer tries another entry.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard};
@@ -64,8 +64,9 @@
         /// The store was unreachable until recently: deleted records may be written again.
         is_unsettled: bool,
     },
-    /// All items; the log does not reach back to the requested position.
-    Whole {
+    /// All items, as the log does not reach back to the requested position.
+    #[serde(rename = "Whole")]
+    List {
         range: Range,
         /// As above.
         is_unsettled: bool,
@@ -76,7 +77,8 @@
     /// and all items are not sent for these keys.
     Unknown,
     /// This entry is not a store follower or cannot reach the store.
-    NotReading,
+    #[serde(rename = "NotReading")]
+    NotFollowing,
 }
 
 /// Feed of one group of keys.
@@ -91,7 +93,7 @@
 /// Reachability of the store.
 #[derive(Debug, Clone, Copy)]
 struct StoreState {
-    is_away: bool,
+    is_unreachable: bool,
     /// A reply of the store is overdue; also true before the first reply.
     is_silent: bool,
     /// Until when deleted records may be written again.
@@ -117,7 +119,7 @@
         Feeds {
             feeds: [feed(), feed(), feed()],
             store: Mutex::new(StoreState {
-                is_away: false,
+                is_unreachable: false,
                 is_silent: true,
                 unsettled_until: None,
             }),
@@ -175,22 +177,22 @@
 
     /// Sets whether this entry follows the keys on behalf of its hall.
     pub fn set_followed(&self, keys: KeyGroup, is_followed: bool) {
-        let was_read = std::mem::replace(&mut self.feed(keys).is_followed, is_followed);
-        if was_read != is_followed {
+        let was_followed = std::mem::replace(&mut self.feed(keys).is_followed, is_followed);
+        if was_followed != is_followed {
             self.changed.notify_waiters();
         }
     }
 
     /// The store became unreachable.
     pub fn store_unreachable(&self) {
-        self.store().is_away = true;
+        self.store().is_unreachable = true;
         self.changed.notify_waiters();
     }
 
     /// The store is reachable again; deleted records may be written again for a time.
     pub fn store_reachable(&self, unsettled_for: Duration) {
         let mut store = self.store();
-        store.is_away = false;
+        store.is_unreachable = false;
         store.unsettled_until = Some(Instant::now() + unsettled_for);
     }
 
@@ -235,15 +237,15 @@
     fn try_answer(&self, request: &FeedRequest) -> Option<FeedResponse> {
         let store = *self.store();
         let feed = self.feed(request.keys);
-        if !feed.is_followed || store.is_away || store.is_silent {
-            return Some(FeedResponse::NotReading);
+        if !feed.is_followed || store.is_unreachable || store.is_silent {
+            return Some(FeedResponse::NotFollowing);
         }
         let unsettled_until = store.unsettled_until;
         let is_unsettled = unsettled_until.is_some_and(|until| Instant::now() < until);
         match feed.log.since(request.after) {
             ChangesSince::NothingNew => None,
             ChangesSince::Unknown => Some(match &feed.items {
-                Some(items) => FeedResponse::Whole {
+                Some(items) => FeedResponse::List {
                     range: Range {
                         items: items.values().cloned().collect(),
                         at: feed.log.end(),
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -89,8 +89,8 @@
 }
 
 /// Records how long a result was retained after its call.
-pub fn record_retention(queue: &str, stayed: Duration) {
-    histogram!("hollowsail_result_stay_seconds", "queue" => queue.to_string()).record(stayed);
+pub fn record_retention(queue: &str, retained_for: Duration) {
+    histogram!("hollowsail_result_stay_seconds", "queue" => queue.to_string()).record(retained_for);
 }
 
 /// Counts the outcome of a request at one of the two versions of a roll-out.
--- a/crates/gateway/src/peers/link.rs
+++ b/crates/gateway/src/peers/link.rs
@@ -18,8 +18,8 @@
 use tokio::sync::{mpsc, oneshot};
 
 use super::messages::{
-    self, Envelope, MakePieceRequest, Message, PieceId, PieceOutcome, PlacementId, PlacementReply,
-    PATH,
+    self, Envelope, Message, PieceId, PieceOutcome, PlacementId, PlacementReply,
+    ProducePieceRequest, PATH,
 };
 use super::record::PeerRecord;
 use crate::target_reports;
@@ -78,7 +78,7 @@
 impl Drop for PendingPiece<'_> {
     fn drop(&mut self) {
         if self.link.awaited.borrow_mut().remove(&self.id).is_some() {
-            self.link.send(Message::GiveUp(self.id));
+            self.link.send(Message::CancelPiece(self.id));
         }
     }
 }
@@ -139,7 +139,7 @@
 
     /// Has the peer produce a piece; [`LinkLost`] when the peer is lost meanwhile. Dropping
     /// the future cancels the piece.
-    pub async fn request_piece(self: &Rc<Self>, piece: MakePieceRequest) -> RemoteOutcome {
+    pub async fn request_piece(self: &Rc<Self>, piece: ProducePieceRequest) -> RemoteOutcome {
         if self.is_closed.get() {
             return Err(LinkLost);
         }
@@ -147,7 +147,7 @@
         let (tx, rx) = oneshot::channel();
         self.awaited.borrow_mut().insert(id, tx);
         let _pending = PendingPiece { link: self, id };
-        self.send(Message::Make(Box::new(piece)));
+        self.send(Message::ProducePiece(Box::new(piece)));
         self.probe_while_awaiting();
         rx.await.unwrap_or(Err(LinkLost))
     }
@@ -165,7 +165,7 @@
             let demand = Box::new(demand);
             self.send(Message::Place {
                 id,
-                desk: scheduler,
+                scheduler,
                 demand,
             });
         }
@@ -178,7 +178,7 @@
 
     /// A reply of the peer's scheduler was received.
     pub fn on_placement_reply(self: &Rc<Self>, id: PlacementId, answer: PlacementReply) {
-        if answer == PlacementReply::Waits {
+        if answer == PlacementReply::Queued {
             let awaited = self.awaited_placements.borrow();
             // Absent when the requester chose an engine itself; the scheduler is notified then.
             awaited
@@ -233,16 +233,16 @@
     fn handle_undelivered(&self, message: Message) {
         let Some(cx) = self.cx.upgrade() else { return };
         match message {
-            Message::Free(spent) => cx.pools.release(&cx, &spent),
-            Message::TargetEnded { request, run } => cx.crashes.count(&cx, request, run),
+            Message::ReleaseResult(result) => cx.pools.release(&cx, &result),
+            Message::TargetCrashed { request, run } => cx.crashes.count(&cx, request, run),
             // The coordinator is unreachable: this entry broadcasts.
-            Message::TargetLeaves {
+            Message::TargetDraining {
                 target,
-                tell_others: true,
+                broadcast: true,
             } => target_reports::on_draining_notice(&cx, &target, true),
             Message::TargetLimit {
                 target,
-                tell_others: true,
+                broadcast: true,
                 ..
             } => target_reports::broadcast_limit(&cx, &target),
             _ => {}
@@ -271,7 +271,7 @@
         let envelope = Envelope {
             from: cx.me.clone(),
             to: self.peer.id,
-            is_slow: cx.lag.get().is_lagging(),
+            is_lagging: cx.lag.get().is_lagging(),
             messages,
         };
         let result = match tokio::time::timeout(DELIVERY_TIMEOUT, self.post(&envelope)).await {
--- a/crates/gateway/src/peers/listen.rs
+++ b/crates/gateway/src/peers/listen.rs
@@ -120,7 +120,8 @@
 async fn handle_envelope(cx: &Rc<Traffic>, req: Request<Incoming>) -> Result<Bytes, Rejection> {
     let envelope: Envelope = read(req).await?;
     cx.peers.observed(cx, &envelope.from);
-    cx.peers.set_lagging(cx, envelope.from.id, envelope.is_slow);
+    cx.peers
+        .set_lagging(cx, envelope.from.id, envelope.is_lagging);
     if envelope.to != cx.me.id {
         return Err(wrong_run(cx));
     }
@@ -144,10 +145,10 @@
         .filter(|_| version > request.configuration);
     let newer = |known: &&KnownRecords| known.at > request.records;
     let records = view.records.as_ref().filter(newer);
-    let evacuated = Some(&view.evacuated).filter(|known| known.as_of() > request.emptied);
+    let evacuated = Some(&view.evacuated).filter(|known| known.as_of() > request.evacuated);
     let answer = StateResponse {
         configuration: source.map(<[u8]>::to_vec),
-        emptied: evacuated.cloned(),
+        evacuated: evacuated.cloned(),
         records: records.map(RecordsSnapshot::from),
         peers: view.peers.to_vec(),
         refused: cx.crashes.refused(cx),
@@ -181,40 +182,41 @@
 
 fn handle_message(cx: &Rc<Traffic>, from: &PeerRecord, message: Message) {
     match message {
-        Message::Make(piece) => cx.pools.accept_piece(cx, from, *piece),
-        Message::GiveUp(id) => cx.pools.cancel_piece(from.id, id),
+        Message::ProducePiece(piece) => cx.pools.accept_piece(cx, from, *piece),
+        Message::CancelPiece(id) => cx.pools.cancel_piece(from.id, id),
         Message::Place {
             id,
-            desk: scheduler,
+            scheduler,
             demand,
         } => {
             let link = cx.peers.link_to(cx, from);
             cx.placements
                 .handle_place_request(cx, &link, id, &scheduler, *demand);
         }
-        Message::Placed(id, answer) => cx.peers.link_to(cx, from).on_placement_reply(id, answer),
+        Message::PlacementReply(id, answer) => {
+            cx.peers.link_to(cx, from).on_placement_reply(id, answer)
+        }
         Message::PlacementStep(id, step) => cx.placements.handle_step(cx, from.id, id, step),
         Message::Load { queue, load } => cx.pools.update_load(cx, queue, load),
         Message::TakeOver { queue, workers } => cx.pools.take_over(cx, &queue, &workers),
-        Message::Free(spent) => cx.pools.release(cx, &spent),
-        Message::TargetLeaves {
-            target,
-            tell_others,
-        } => target_reports::on_draining_notice(cx, &target, tell_others),
+        Message::ReleaseResult(result) => cx.pools.release(cx, &result),
+        Message::TargetDraining { target, broadcast } => {
+            target_reports::on_draining_notice(cx, &target, broadcast)
+        }
         Message::TargetLimit {
             target,
             limit,
-            tell_others,
-        } => target_reports::on_limit_notice(cx, &target, limit, tell_others),
-        Message::TargetEnded { request, run } => cx.crashes.count(cx, request, run),
-        Message::Standing { request, standing } => cx.crashes.on_verdict(cx, request, standing),
+            broadcast,
+        } => target_reports::on_limit_notice(cx, &target, limit, broadcast),
+        Message::TargetCrashed { request, run } => cx.crashes.count(cx, request, run),
+        Message::CrashVerdict { request, verdict } => cx.crashes.on_verdict(cx, request, verdict),
         Message::RolloutReport(report) => cx.rollouts.on_report(cx, from, *report),
         Message::RolloutPhase(notice) => cx.rollouts.on_phase_notice(cx, from.id, &notice),
-        Message::Ended(id, end) => {
+        Message::PieceEnded(id, end) => {
             let link = cx.peers.link_to(cx, from);
             if !link.complete_piece(id, end) {
                 // No requester waits for the piece: the owner releases the result.
-                link.send(Message::GiveUp(id));
+                link.send(Message::CancelPiece(id));
             }
         }
     }
--- a/crates/gateway/src/peers/messages.rs
+++ b/crates/gateway/src/peers/messages.rs
@@ -35,8 +35,9 @@
     pub from: PeerRecord,
     /// The run that is addressed; any other run at the address rejects the envelope.
     pub to: PeerId,
-    /// The sender's event loop lags: it should own nothing for now.
-    pub is_slow: bool,
+    /// The sender's event loop lags, so it should own no keys for now.
+    #[serde(rename = "is_slow")]
+    pub is_lagging: bool,
     pub messages: Vec<Message>,
 }
 
@@ -51,28 +52,38 @@
 /// Progress of a placed generation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PlacementStep {
-    /// The first event was received: the prefill is done.
-    PromptRead,
+    /// The first event was received.
+    #[serde(rename = "PromptRead")]
+    PrefillDone,
     /// The answer is complete.
-    Whole,
+    #[serde(rename = "Whole")]
+    Completed,
     /// It ended without a valid answer because of the engine.
     Failed,
-    /// It was abandoned.
-    Left,
+    /// The request was cancelled, or its sender chose another engine.
+    #[serde(rename = "Left")]
+    Abandoned,
 }
 
 /// A scheduler's reply to a placement request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PlacementReply {
     /// The engine to send to.
-    There(Incarnation),
+    #[serde(rename = "There")]
+    Placed(Incarnation),
     /// No engine is available; another reply follows within the demand's waiting time.
-    Waits,
-    /// No engine becomes available in time; the caller may retry after `return_ms`
+    #[serde(rename = "Waits")]
+    Queued,
+    /// No engine becomes available in time; the caller may retry after `retry_after_ms`
     /// milliseconds.
-    Full { return_ms: u64 },
-    /// No engine is known that may serve it.
-    Nowhere,
+    #[serde(rename = "Full")]
+    AtLimit {
+        #[serde(rename = "return_ms")]
+        retry_after_ms: u64,
+    },
+    /// No engine may serve it.
+    #[serde(rename = "Nowhere")]
+    NoCandidate,
 }
 
 /// A target's reported limit; times are ages in milliseconds.
@@ -81,20 +92,25 @@
     /// Requests per second; `None` when the target reported no limit.
     pub per_s: Option<f64>,
     /// Age of the request whose answer carried the report.
-    pub asked_ms: u64,
+    #[serde(rename = "asked_ms")]
+    pub sent_ms: u64,
     /// Age of the answer.
-    pub heard_ms: u64,
+    #[serde(rename = "heard_ms")]
+    pub received_ms: u64,
 }
 
 /// A message between entries.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Message {
     /// To the owner of a queue: produce a piece.
-    Make(Box<MakePieceRequest>),
-    /// To the owner: the piece is no longer needed.
-    GiveUp(PieceId),
+    #[serde(rename = "Make")]
+    ProducePiece(Box<ProducePieceRequest>),
+    /// To the owner of a queue: the piece is no longer needed.
+    #[serde(rename = "GiveUp")]
+    CancelPiece(PieceId),
     /// To the requester: the outcome of its piece.
-    Ended(PieceId, PieceOutcome),
+    #[serde(rename = "Ended")]
+    PieceEnded(PieceId, PieceOutcome),
     /// To the new owner of a queue: the known state of its workers.
     TakeOver {
         queue: String,
@@ -103,39 +119,50 @@
     /// To the owner of a scheduler: place a generation.
     Place {
         id: PlacementId,
-        desk: String,
+        #[serde(rename = "desk")]
+        scheduler: String,
         demand: Box<Demand<Incarnation>>,
     },
     /// To the requester: the reply to its placement request.
-    Placed(PlacementId, PlacementReply),
+    #[serde(rename = "Placed")]
+    PlacementReply(PlacementId, PlacementReply),
     /// To the owner of a scheduler: progress of a placed generation.
     PlacementStep(PlacementId, PlacementStep),
     /// To the requester: the load of a queue.
     Load { queue: String, load: QueueLoad },
-    /// To the owner: a result that is no longer needed.
-    Free(UnneededResult),
+    /// To the owner of a queue: a result that can be released.
+    #[serde(rename = "Free")]
+    ReleaseResult(UnneededResult),
     /// A target is draining. Sent to the entry that coordinates broadcasts for the target, or
     /// from it.
-    TargetLeaves {
+    #[serde(rename = "TargetLeaves")]
+    TargetDraining {
         target: Incarnation,
-        tell_others: bool,
+        /// The receiver forwards the report to all other entries.
+        #[serde(rename = "tell_others")]
+        broadcast: bool,
     },
     /// A target's reported limit. Sent to the entry that coordinates broadcasts for the
     /// target, from it, or to the owner of a scheduler.
     TargetLimit {
         target: Incarnation,
         limit: LimitNotice,
-        tell_others: bool,
+        /// The receiver forwards the report to all other entries.
+        #[serde(rename = "tell_others")]
+        broadcast: bool,
     },
     /// To the entry that counts crashes for a request: a target crashed while running it.
-    TargetEnded {
+    #[serde(rename = "TargetEnded")]
+    TargetCrashed {
         request: RequestDigest,
         run: CrashedRunReport,
     },
     /// To every entry: the verdict on a request that crashed targets.
-    Standing {
+    #[serde(rename = "Standing")]
+    CrashVerdict {
         request: RequestDigest,
-        standing: VerdictNotice,
+        #[serde(rename = "standing")]
+        verdict: VerdictNotice,
     },
     /// To the leader of a roll-out: the evidence that this entry has collected.
     RolloutReport(Box<RolloutReport>),
@@ -158,9 +185,9 @@
 /// durations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum VerdictNotice {
-    /// It was answered in full.
+    /// It was completed, so it is no longer suspected.
     Unsuspected,
-    /// It runs isolated from others.
+    /// It has to run isolated.
     Suspect,
     /// It is refused for `for_ms` milliseconds.
     Refused { for_ms: u64 },
@@ -169,7 +196,8 @@
 /// Outcome of a piece at its queue's owner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PieceOutcome {
-    Made(CompletedPiece),
+    #[serde(rename = "Made")]
+    Completed(CompletedPiece),
     Failed(PieceFailure),
     /// Not started; the queue has another owner now.
     Moved,
@@ -186,14 +214,14 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct UnneededResult {
     pub queue: String,
-    /// Its maker.
+    /// The target that produced it.
     pub target: Incarnation,
     pub handle: String,
 }
 
 /// A piece for the owner of a queue to produce.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct MakePieceRequest {
+pub struct ProducePieceRequest {
     pub id: PieceId,
     pub queue: String,
     pub piece: Piece,
@@ -207,7 +235,7 @@
     pub expires_in_ms: u64,
     /// Estimated size of its result.
     pub result_bytes: u64,
-    /// Its inputs are large.
+    /// True if its inputs are large results.
     pub holds_inputs: bool,
     /// Data hall that uses the result.
     pub hall: Option<String>,
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -27,8 +27,8 @@
 pub use link::Link;
 pub use listen::start;
 pub use messages::{
-    request, CompletedPiece, CrashedRunReport, LimitNotice, MakePieceRequest, Message, PieceId,
-    PieceOutcome, PlacementId, PlacementReply, PlacementStep, UnneededResult, VerdictNotice,
+    request, CompletedPiece, CrashedRunReport, LimitNotice, Message, PieceId, PieceOutcome,
+    PlacementId, PlacementReply, PlacementStep, ProducePieceRequest, UnneededResult, VerdictNotice,
     WorkerHandover,
 };
 pub use record::{capacity_of, PeerId, PeerRecord, PREFIX};
@@ -301,7 +301,7 @@
         others.map(|peer| self.link_to(cx, peer)).collect()
     }
 
-    /// Takes a peer's report on whether its event loop lags.
+    /// Records a peer's report on whether its event loop lags.
     pub fn set_lagging(&self, cx: &Rc<Traffic>, peer: PeerId, is_lagging: bool) {
         let mut lagging = self.lagging.borrow_mut();
         let was_lagging = match is_lagging {
--- a/crates/gateway/src/peers/state.rs
+++ b/crates/gateway/src/peers/state.rs
@@ -24,17 +24,19 @@
     /// Store position of its target records.
     pub records: Position,
     /// Store position of its evacuated halls.
-    pub emptied: Position,
+    #[serde(rename = "emptied")]
+    pub evacuated: Position,
 }
 
 /// State that is newer than the request's versions.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct StateResponse {
-    /// The configuration, in the bytes stored in the store.
+    /// The configuration as stored, if newer.
     #[serde(with = "serde_bytes")]
     pub configuration: Option<Vec<u8>>,
     /// Evacuated halls, if newer.
-    pub emptied: Option<EvacuatedHalls>,
+    #[serde(rename = "emptied")]
+    pub evacuated: Option<EvacuatedHalls>,
     /// All target records, if newer and the responding entry receives updates from the store.
     pub records: Option<RecordsSnapshot>,
     /// Live entries known to the responding entry.
@@ -52,8 +54,8 @@
     pub records: Vec<PositionedRecord>,
 }
 
-/// Path that accepts a [`RecordsRequest`] and returns an `Option` of [`RecordsSnapshot`]: `None` when
-/// the entry receives no updates from the store or has nothing newer.
+/// Path that accepts a [`RecordsRequest`] and returns an `Option` of [`RecordsSnapshot`]: `None`
+/// when the entry receives no updates from the store or has nothing newer.
 pub const RECORDS_PATH: &str = "/hollowsail/records";
 
 /// Request for all target records.
--- a/crates/gateway/src/placement/mod.rs
+++ b/crates/gateway/src/placement/mod.rs
@@ -29,7 +29,7 @@
 /// Maximum engines in a group. Each group caches a prefix separately, so larger groups need
 /// fewer prefills; the bound is what one owner can schedule.
 const MAX_GROUP_ENGINES: usize = 512;
-/// Longest wait for a peer's scheduler; past it, a local choice costs less than waiting.
+/// Timeout of a peer's scheduler, after which this entry chooses a target itself.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(40);
 
 /// A placement at a local scheduler.
@@ -98,19 +98,19 @@
         demand: Demand<Incarnation>,
     ) -> PlacementOutcome {
         let id = self.next_id();
-        let waits = Duration::from_millis(demand.waits_ms);
+        let max_wait = Duration::from_millis(demand.waits_ms);
         // Dropped if the answer is too late, which reports the placement as abandoned.
         let placed = Placement::new(SchedulerHandle::Peer(link.clone(), id));
         let mut replies = link.request_placement(id, name, demand);
         let mut answer = timeout(REPLY_TIMEOUT, replies.next()).await;
-        if let Ok(Some(PlacementReply::Waits)) = answer {
-            answer = timeout(waits + REPLY_TIMEOUT, replies.next()).await;
+        if let Ok(Some(PlacementReply::Queued)) = answer {
+            answer = timeout(max_wait + REPLY_TIMEOUT, replies.next()).await;
         }
         match answer {
-            Ok(Some(PlacementReply::There(engine))) => PlacementOutcome::Placed(engine, placed),
-            Ok(Some(PlacementReply::Full { return_ms })) => at_limit(return_ms),
-            Ok(Some(PlacementReply::Nowhere)) => PlacementOutcome::NoCandidate,
-            Ok(Some(PlacementReply::Waits) | None) | Err(_) => PlacementOutcome::NoReply,
+            Ok(Some(PlacementReply::Placed(engine))) => PlacementOutcome::Placed(engine, placed),
+            Ok(Some(PlacementReply::AtLimit { retry_after_ms })) => at_limit(retry_after_ms),
+            Ok(Some(PlacementReply::NoCandidate)) => PlacementOutcome::NoCandidate,
+            Ok(Some(PlacementReply::Queued) | None) | Err(_) => PlacementOutcome::NoReply,
         }
     }
 
@@ -119,7 +119,7 @@
         PlacementId(self.last_id.get())
     }
 
-    /// Returns the scheduler of a group, created if needed; `None` if the name is no group's.
+    /// Returns the scheduler of a group, created if needed; `None` if no group has this name.
     fn scheduler(&self, cx: &Rc<Traffic>, name: &str) -> Option<Rc<GroupScheduler>> {
         if let Some(known) = self.schedulers.borrow().get(name) {
             return Some(known.clone());
@@ -143,7 +143,7 @@
         demand: Demand<Incarnation>,
     ) {
         let Some(scheduler) = self.scheduler(cx, scheduler) else {
-            link.send(Message::Placed(id, PlacementReply::Nowhere));
+            link.send(Message::PlacementReply(id, PlacementReply::NoCandidate));
             return;
         };
         let answer = scheduler.submit(cx, &demand);
@@ -154,8 +154,8 @@
                 scheduler: scheduler.clone(),
                 key,
             };
-            let mut waiting = self.peer_queued.borrow_mut();
-            waiting.insert((link.peer.id, id), queued);
+            let mut peer_queued = self.peer_queued.borrow_mut();
+            peer_queued.insert((link.peer.id, id), queued);
         }
         self.answer_peer(&scheduler, link, id, &answer);
     }
@@ -176,7 +176,7 @@
         if !matches!(decision, Decision::MayQueue(_)) {
             self.peer_queued.borrow_mut().remove(&peer_key);
         }
-        link.send(Message::Placed(id, decision.to_peer()));
+        link.send(Message::PlacementReply(id, decision.to_peer()));
     }
 
     /// Handles a peer's report on the progress of its placement.
@@ -184,7 +184,7 @@
         self.peer_queued.borrow_mut().remove(&(from, id));
         let mut peer_placements = self.peer_placements.borrow_mut();
         let placement = match step {
-            PlacementStep::PromptRead => peer_placements.get(&(from, id)).cloned(),
+            PlacementStep::PrefillDone => peer_placements.get(&(from, id)).cloned(),
             _ => peer_placements.remove(&(from, id)),
         };
         if let Some((scheduler, key)) = placement {
@@ -201,7 +201,7 @@
         peer_placements.retain(|(peer_id, _), (scheduler, key)| {
             let is_kept = *peer_id != peer;
             if !is_kept {
-                scheduler.record_step(cx, *key, PlacementStep::Whole);
+                scheduler.record_step(cx, *key, PlacementStep::Completed);
             }
             is_kept
         });
--- a/crates/gateway/src/placement/placed.rs
+++ b/crates/gateway/src/placement/placed.rs
@@ -27,12 +27,12 @@
     pub(super) fn new(scheduler: SchedulerHandle) -> Self {
         Placement {
             scheduler,
-            end: PlacementStep::Left,
+            end: PlacementStep::Abandoned,
         }
     }
 
     /// Repeats the target's limit report to a remote scheduler once the target has answered,
-    /// as the scheduler may have a new owner that lacks it.
+    /// as a new owner of the scheduler may not have received it.
     pub fn repeat_limit_report(&self, cx: &Traffic, target: &Target) {
         if let SchedulerHandle::Peer(link, _) = &self.scheduler {
             target_reports::resend_limit(cx, target, link);
@@ -41,12 +41,12 @@
 
     /// Reports that the prefill is done; called at the first event.
     pub fn prefill_done(&self) {
-        self.notify(PlacementStep::PromptRead);
+        self.notify(PlacementStep::PrefillDone);
     }
 
     /// Marks the response as complete.
     pub fn completed(&mut self) {
-        self.end = PlacementStep::Whole;
+        self.end = PlacementStep::Completed;
     }
 
     /// Marks the request as failed by its target.
--- a/crates/gateway/src/placement/scheduler.rs
+++ b/crates/gateway/src/placement/scheduler.rs
@@ -55,7 +55,7 @@
 #[derive(Debug, Clone)]
 pub(super) enum Decision {
     Assigned(PlacementKey, Incarnation),
-    /// May wait in the queue until this time.
+    /// It may wait in the queue until this time.
     MayQueue(Millis),
     /// No target can take it within its wait time.
     AtLimit {
@@ -68,12 +68,12 @@
     /// Converts to the message that a peer gets.
     pub fn to_peer(&self) -> PlacementReply {
         match self {
-            Decision::Assigned(_, engine) => PlacementReply::There(engine.clone()),
-            Decision::MayQueue(_) => PlacementReply::Waits,
-            Decision::AtLimit { retry_after_ms } => PlacementReply::Full {
-                return_ms: *retry_after_ms,
+            Decision::Assigned(_, engine) => PlacementReply::Placed(engine.clone()),
+            Decision::MayQueue(_) => PlacementReply::Queued,
+            Decision::AtLimit { retry_after_ms } => PlacementReply::AtLimit {
+                retry_after_ms: *retry_after_ms,
             },
-            Decision::NoCandidate => PlacementReply::Nowhere,
+            Decision::NoCandidate => PlacementReply::NoCandidate,
         }
     }
 }
@@ -113,7 +113,7 @@
         self.engines.borrow_mut().set_limit_share(share);
     }
 
-    /// Places a new demand if possible; otherwise says whether it may wait.
+    /// Places a new demand if possible; otherwise returns whether it may wait.
     pub(super) fn submit(&self, cx: &Rc<Traffic>, demand: &Demand<Incarnation>) -> Decision {
         let now = cx.clock.now();
         self.sweep_if_due(cx, now);
@@ -126,12 +126,12 @@
                 return Decision::Assigned(key, engine);
             }
         }
-        let turn = self.engines.borrow().queue_estimate(now, demand, ahead);
-        match turn {
-            Some(turn) if turn.wait_ms <= demand.waits_ms => {
+        let estimate = self.engines.borrow().queue_estimate(now, demand, ahead);
+        match estimate {
+            Some(estimate) if estimate.wait_ms <= demand.waits_ms => {
                 Decision::MayQueue(now + demand.waits_ms)
             }
-            turn => self.refusal(now, turn),
+            estimate => self.refusal(now, estimate),
         }
     }
 
@@ -200,11 +200,11 @@
         let expired = self.queue.borrow_mut().take_expired(now);
         for queued in expired {
             let ahead = self.queue.borrow().ahead_of(queued.demand.urgency);
-            let turn = self
+            let estimate = self
                 .engines
                 .borrow()
                 .queue_estimate(now, &queued.demand, ahead);
-            let answer = self.refusal(now, turn);
+            let answer = self.refusal(now, estimate);
             self.answer(cx, queued, answer);
         }
         while let Some((key, placed, engine)) = self.place_next(now) {
@@ -216,13 +216,13 @@
     }
 
     /// Answer to a demand that can't be placed within its wait time.
-    fn refusal(&self, now: Millis, turn: Option<QueueEstimate>) -> Decision {
-        let Some(turn) = turn else {
+    fn refusal(&self, now: Millis, estimate: Option<QueueEstimate>) -> Decision {
+        let Some(estimate) = estimate else {
             return Decision::NoCandidate;
         };
         let mut queue = self.queue.borrow_mut();
         Decision::AtLimit {
-            retry_after_ms: queue.retry_after_ms(now, turn.wait_ms, turn.per_s),
+            retry_after_ms: queue.retry_after_ms(now, estimate.wait_ms, estimate.per_s),
         }
     }
 
@@ -243,8 +243,8 @@
         match queued.reply {
             Reply::Local(sender) => {
                 if let Err(Decision::Assigned(key, _)) = sender.send(answer) {
-                    // The caller has just disconnected.
-                    self.record_step(cx, key, PlacementStep::Left);
+                    // The caller has disconnected.
+                    self.record_step(cx, key, PlacementStep::Abandoned);
                 }
             }
             Reply::Peer(link, id) => cx.placements.answer_peer(self, &link, id, &answer),
@@ -256,13 +256,13 @@
         let now = cx.clock.now();
         let ended = |end| self.engines.borrow_mut().ended(key, end, now);
         let ejected = match step {
-            PlacementStep::PromptRead => {
+            PlacementStep::PrefillDone => {
                 self.engines.borrow_mut().prefill_done(key, now);
                 return;
             }
-            PlacementStep::Whole => ended(PlacementEnd::Whole),
+            PlacementStep::Completed => ended(PlacementEnd::Whole),
             PlacementStep::Failed => ended(PlacementEnd::Failed),
-            PlacementStep::Left => ended(PlacementEnd::Abandoned),
+            PlacementStep::Abandoned => ended(PlacementEnd::Abandoned),
         };
         self.log_ejected(cx, &ejected);
     }
--- a/crates/gateway/src/pools/batcher/hand_over.rs
+++ b/crates/gateway/src/pools/batcher/hand_over.rs
@@ -11,7 +11,7 @@
 use super::{Batcher, LocalOutcome, Reply};
 use crate::peers::{self, Link, Message, WorkerHandover};
 
-/// Assumed retention of results that the previous owner had produced, which this entry can't
+/// Assumed retention of results produced under the previous owner, which this entry can't
 /// track; about two calls of later stages.
 const INHERITED_RESULT_MS: Millis = 800;
 
@@ -33,7 +33,7 @@
                 Some(Reply::Local(sender)) => drop(sender.send(LocalOutcome::Moved)),
                 Some(Reply::Peer(requester)) => {
                     self.remove_peer_piece(&requester);
-                    let moved = Message::Ended(requester.id, peers::PieceOutcome::Moved);
+                    let moved = Message::PieceEnded(requester.id, peers::PieceOutcome::Moved);
                     requester.link.send(moved);
                 }
                 None => {}
--- a/crates/gateway/src/pools/batcher/mod.rs
+++ b/crates/gateway/src/pools/batcher/mod.rs
@@ -146,9 +146,9 @@
     }
 
     /// Produces a piece. Dropping the future cancels it.
-    pub(super) async fn produce(self: &Rc<Self>, wanted: PieceRequest) -> LocalOutcome {
+    pub(super) async fn produce(self: &Rc<Self>, piece_request: PieceRequest) -> LocalOutcome {
         let (sender, result) = oneshot::channel();
-        let key = self.push(wanted, Reply::Local(sender));
+        let key = self.push(piece_request, Reply::Local(sender));
         let _submitted = SubmittedPiece {
             batcher: self,
             piece: key,
@@ -159,42 +159,47 @@
     }
 
     /// Produces a piece for a peer.
-    pub fn accept_from_peer(self: &Rc<Self>, link: Rc<Link>, id: PieceId, wanted: PieceRequest) {
+    pub fn accept_from_peer(
+        self: &Rc<Self>,
+        link: Rc<Link>,
+        id: PieceId,
+        piece_request: PieceRequest,
+    ) {
         let peer = link.peer.id;
-        let key = self.push(wanted, Reply::Peer(Requester { link, id }));
+        let key = self.push(piece_request, Reply::Peer(Requester { link, id }));
         self.peer_pieces.borrow_mut().insert((peer, id), key);
     }
 
-    fn push(self: &Rc<Self>, wanted: PieceRequest, reply: Reply) -> PieceKey {
+    fn push(self: &Rc<Self>, piece_request: PieceRequest, reply: Reply) -> PieceKey {
         let now = self.now();
-        let hall = wanted
+        let hall = piece_request
             .hall
             .filter(|_| self.has(Mechanism::Halls))
             .map(|hall| self.workers.borrow_mut().hall(&hall));
-        let halls = wanted.halls.map_or(Halls::ALL, |halls| {
+        let halls = piece_request.halls.map_or(Halls::ALL, |halls| {
             let mut workers = self.workers.borrow_mut();
             Halls::only(halls.iter().map(|hall| workers.hall(hall)))
         });
         let order = PieceOrder {
-            priority: wanted.priority,
-            due: wanted.due,
-            expires: wanted.expires,
-            result_bytes: wanted.result_bytes,
-            group: self.group_of(&wanted.piece),
-            holds_inputs: wanted.holds_inputs,
+            priority: piece_request.priority,
+            due: piece_request.due,
+            expires: piece_request.expires,
+            result_bytes: piece_request.result_bytes,
+            group: self.group_of(&piece_request.piece),
+            holds_inputs: piece_request.holds_inputs,
             hall,
             halls,
         };
         let job = Job {
-            piece: wanted.piece,
-            request: wanted.request,
+            piece: piece_request.piece,
+            request: piece_request.request,
             failures: 0,
             crashes: 0,
             crashes_alone: 0,
             reply,
         };
         let key = self.queue.borrow_mut().push(order, job, now);
-        if self.is_suspect(wanted.request) {
+        if self.is_suspect(piece_request.request) {
             self.queue.borrow_mut().isolate(key);
         }
         self.pump_soon();
--- a/crates/gateway/src/pools/batcher/replies.rs
+++ b/crates/gateway/src/pools/batcher/replies.rs
@@ -56,7 +56,7 @@
         handle: String,
     ) {
         let bytes = piece.result_bytes;
-        let made = CompletedPiece {
+        let completed = CompletedPiece {
             handle: handle.clone(),
             target: target.incarnation().clone(),
             addr: target.record.addr,
@@ -80,9 +80,11 @@
         match reply {
             // If the request has stopped waiting, dropping the result releases it.
             Some(Reply::Local(sender)) => drop(sender.send(LocalOutcome::Completed(
-                RetainedResult::local(self.clone(), made, bytes),
+                RetainedResult::local(self.clone(), completed, bytes),
             ))),
-            Some(Reply::Peer(requester)) => self.answer_peer(&requester, PieceOutcome::Made(made)),
+            Some(Reply::Peer(requester)) => {
+                self.answer_peer(&requester, PieceOutcome::Completed(completed))
+            }
             None => self.release(&handle),
         }
     }
@@ -90,7 +92,7 @@
     fn answer_peer(&self, requester: &Requester, end: PieceOutcome) {
         self.remove_peer_piece(requester);
         self.send_load(&requester.link);
-        requester.link.send(Message::Ended(requester.id, end));
+        requester.link.send(Message::PieceEnded(requester.id, end));
     }
 
     /// Removes a peer's piece whose outcome is sent now.
--- a/crates/gateway/src/pools/batcher/results.rs
+++ b/crates/gateway/src/pools/batcher/results.rs
@@ -93,7 +93,7 @@
         self.schedule_release(result.worker, handle);
     }
 
-    /// Releases a result that an earlier owner of this queue may have had produced.
+    /// Releases a result that may have been produced under an earlier owner of this queue.
     pub fn release_at(self: &Rc<Self>, target: &Incarnation, handle: &str) {
         if self.results.borrow().contains_key(handle) {
             return self.release(handle);
--- a/crates/gateway/src/pools/mod.rs
+++ b/crates/gateway/src/pools/mod.rs
@@ -22,7 +22,7 @@
 
 use crate::mechanisms::Mechanism;
 use crate::peers::{
-    self, Link, MakePieceRequest, Message, Owner, PeerId, PeerRecord, PieceId, UnneededResult,
+    self, Link, Message, Owner, PeerId, PeerRecord, PieceId, ProducePieceRequest, UnneededResult,
     WorkerHandover,
 };
 use crate::target_group::TargetGroup;
@@ -33,12 +33,12 @@
 pub use batcher::Batcher;
 pub use retained::RetainedResult;
 
-/// Maximum targets in a queue: enough that one in the preferred hall is usually about to
-/// become free and that a recovering service isn't split again, few enough for one owner.
+/// Maximum targets in a queue: enough that one in the preferred hall is usually free soon,
+/// few enough for one owner to serve.
 const MAX_QUEUE_TARGETS: usize = 64;
 /// Age past which a peer's load report is ignored; a queue turns over in about this time.
 const LOAD_TTL_MS: Millis = 600;
-/// Maximum owners that a piece is sent to, one after the other.
+/// Maximum number of owners that are tried for a piece, one after the other.
 const MAX_OWNERS: u32 = 8;
 
 /// Outcome of producing a piece.
@@ -54,7 +54,7 @@
     pub priority: u8,
     /// Time by which it should be complete.
     pub due: Millis,
-    /// Time past which its result is useless.
+    /// Time after which its result is no longer needed.
     pub expires: Millis,
     /// Estimated size of its result.
     pub result_bytes: u64,
@@ -101,27 +101,27 @@
         cx: &Rc<Traffic>,
         deployment: &Deployment,
         service: ServiceKey,
-        wanted: PieceRequest,
+        piece_request: PieceRequest,
     ) -> PieceOutcome {
         let name = &deployment.service(service).name;
         cx.peers.wait_until_settled(cx).await;
         for _ in 0..MAX_OWNERS {
-            let queue = queue_for(cx, name, &wanted.piece.request_id);
+            let queue = queue_for(cx, name, &piece_request.piece.request_id);
             match owner_of(cx, &queue) {
                 Owner::Me => {
                     let batcher = self.batcher(cx, &queue).ok_or(PieceFailure::Failed)?;
-                    match batcher.produce(wanted.clone()).await {
+                    match batcher.produce(piece_request.clone()).await {
                         LocalOutcome::Completed(result) => return Ok(result),
                         LocalOutcome::Failed(failure) => return Err(failure),
                         LocalOutcome::Moved => {}
                     }
                 }
                 Owner::Peer(link) => {
-                    let message = self.message(cx, &queue, &wanted);
+                    let message = self.message(cx, &queue, &piece_request);
                     match link.request_piece(message).await {
-                        Ok(peers::PieceOutcome::Made(made)) => {
-                            let bytes = wanted.result_bytes;
-                            return Ok(RetainedResult::remote(link, queue, made, bytes));
+                        Ok(peers::PieceOutcome::Completed(completed)) => {
+                            let bytes = piece_request.result_bytes;
+                            return Ok(RetainedResult::remote(link, queue, completed, bytes));
                         }
                         Ok(peers::PieceOutcome::Failed(failure)) => return Err(failure),
                         // Try the next owner.
@@ -133,22 +133,27 @@
         Err(PieceFailure::Failed)
     }
 
-    fn message(&self, cx: &Traffic, queue: &str, wanted: &PieceRequest) -> MakePieceRequest {
+    fn message(
+        &self,
+        cx: &Traffic,
+        queue: &str,
+        piece_request: &PieceRequest,
+    ) -> ProducePieceRequest {
         let number = self.last_piece_id.get() + 1;
         self.last_piece_id.set(number);
         let now = cx.clock.now();
-        MakePieceRequest {
+        ProducePieceRequest {
             id: PieceId(number),
             queue: queue.to_string(),
-            piece: wanted.piece.clone(),
-            request: wanted.request,
-            priority: wanted.priority,
-            due_in_ms: wanted.due as i64 - now as i64,
-            expires_in_ms: wanted.expires.saturating_sub(now),
-            result_bytes: wanted.result_bytes,
-            holds_inputs: wanted.holds_inputs,
-            hall: wanted.hall.clone(),
-            halls: wanted.halls.clone(),
+            piece: piece_request.piece.clone(),
+            request: piece_request.request,
+            priority: piece_request.priority,
+            due_in_ms: piece_request.due as i64 - now as i64,
+            expires_in_ms: piece_request.expires.saturating_sub(now),
+            result_bytes: piece_request.result_bytes,
+            holds_inputs: piece_request.holds_inputs,
+            hall: piece_request.hall.clone(),
+            halls: piece_request.halls.clone(),
         }
     }
 
@@ -191,31 +196,31 @@
 
     /// Accepts a piece from a peer. Sends it back if this entry is lagging and another one owns
     /// the queue.
-    pub fn accept_piece(&self, cx: &Rc<Traffic>, from: &PeerRecord, make: MakePieceRequest) {
+    pub fn accept_piece(&self, cx: &Rc<Traffic>, from: &PeerRecord, request: ProducePieceRequest) {
         let link = cx.peers.link_to(cx, from);
-        if cx.lag.get().is_lagging() && matches!(owner_of(cx, &make.queue), Owner::Peer(_)) {
-            link.send(Message::Ended(make.id, peers::PieceOutcome::Moved));
+        if cx.lag.get().is_lagging() && matches!(owner_of(cx, &request.queue), Owner::Peer(_)) {
+            link.send(Message::PieceEnded(request.id, peers::PieceOutcome::Moved));
             return;
         }
-        let Some(batcher) = self.batcher(cx, &make.queue) else {
+        let Some(batcher) = self.batcher(cx, &request.queue) else {
             // The service isn't, or is no longer, in this entry's configuration.
             let end = peers::PieceOutcome::Failed(PieceFailure::Failed);
-            link.send(Message::Ended(make.id, end));
+            link.send(Message::PieceEnded(request.id, end));
             return;
         };
         let now = cx.clock.now();
-        let wanted = PieceRequest {
-            piece: make.piece,
-            request: make.request,
-            priority: make.priority,
-            due: now.saturating_add_signed(make.due_in_ms),
-            expires: now + make.expires_in_ms,
-            result_bytes: make.result_bytes,
-            holds_inputs: make.holds_inputs,
-            hall: make.hall,
-            halls: make.halls,
+        let piece_request = PieceRequest {
+            piece: request.piece,
+            request: request.request,
+            priority: request.priority,
+            due: now.saturating_add_signed(request.due_in_ms),
+            expires: now + request.expires_in_ms,
+            result_bytes: request.result_bytes,
+            holds_inputs: request.holds_inputs,
+            hall: request.hall,
+            halls: request.halls,
         };
-        batcher.accept_from_peer(link, make.id, wanted);
+        batcher.accept_from_peer(link, request.id, piece_request);
     }
 
     /// Cancels a peer's piece, or releases its result if the piece is complete.
@@ -225,10 +230,10 @@
             .for_each(|batcher| batcher.cancel_piece(from, id));
     }
 
-    /// Releases a result of a queue, also one that an earlier owner had produced.
-    pub fn release(&self, cx: &Rc<Traffic>, spent: &UnneededResult) {
-        if let Some(batcher) = self.batcher(cx, &spent.queue) {
-            batcher.release_at(&spent.target, &spent.handle);
+    /// Releases a result of a queue, including one produced under an earlier owner.
+    pub fn release(&self, cx: &Rc<Traffic>, result: &UnneededResult) {
+        if let Some(batcher) = self.batcher(cx, &result.queue) {
+            batcher.release_at(&result.target, &result.handle);
         }
     }
 
--- a/crates/gateway/src/pools/retained.rs
+++ b/crates/gateway/src/pools/retained.rs
@@ -16,54 +16,59 @@
 /// A retained result, released when dropped.
 pub struct RetainedResult {
     owner: Owner,
-    made: CompletedPiece,
+    completed: CompletedPiece,
     /// Estimated size.
     pub bytes: u64,
 }
 
 impl RetainedResult {
     /// Creates a result of a queue that this entry owns.
-    pub(super) fn local(batcher: Rc<Batcher>, made: CompletedPiece, bytes: u64) -> Self {
+    pub(super) fn local(batcher: Rc<Batcher>, completed: CompletedPiece, bytes: u64) -> Self {
         RetainedResult {
             owner: Owner::Local(batcher),
-            made,
+            completed,
             bytes,
         }
     }
 
     /// Creates a result of a queue that a peer owns.
-    pub(super) fn remote(link: Rc<Link>, queue: String, made: CompletedPiece, bytes: u64) -> Self {
+    pub(super) fn remote(
+        link: Rc<Link>,
+        queue: String,
+        completed: CompletedPiece,
+        bytes: u64,
+    ) -> Self {
         RetainedResult {
             owner: Owner::Peer { link, queue },
-            made,
+            completed,
             bytes,
         }
     }
 
     /// Name of the result at its producer.
     pub fn handle(&self) -> &str {
-        &self.made.handle
+        &self.completed.handle
     }
 
     /// Id of the target that produced it.
     pub fn producer(&self) -> &str {
-        &self.made.target.id
+        &self.completed.target.id
     }
 
     /// Data hall of its producer.
     pub fn hall(&self) -> &str {
-        &self.made.hall
+        &self.completed.hall
     }
 }
 
 impl Drop for RetainedResult {
     fn drop(&mut self) {
         match &self.owner {
-            Owner::Local(batcher) => batcher.release(&self.made.handle),
-            Owner::Peer { link, queue } => link.send(Message::Free(UnneededResult {
+            Owner::Local(batcher) => batcher.release(&self.completed.handle),
+            Owner::Peer { link, queue } => link.send(Message::ReleaseResult(UnneededResult {
                 queue: queue.clone(),
-                target: self.made.target.clone(),
-                handle: std::mem::take(&mut self.made.handle),
+                target: self.completed.target.clone(),
+                handle: std::mem::take(&mut self.completed.handle),
             })),
         }
     }
--- a/crates/gateway/src/pools/worker_crash.rs
+++ b/crates/gateway/src/pools/worker_crash.rs
@@ -1,7 +1,7 @@
 //! Worker crashes in the middle of a call.
 //!
 //! The piece of a call that caused a crash can't be identified, so the crash counts against
-//! the requests of all its pieces ([`crate::crashes`]). A piece that meets a second
+//! the requests of all its pieces ([`crate::crashes`]). A piece with a second
 //! crash is isolated: it shares no more calls with other requests.
 
 use std::collections::BTreeSet;
@@ -54,7 +54,7 @@
     }
 }
 
-/// Counts a worker crash for one of its pieces and isolates the piece if it has met enough.
+/// Counts a worker crash for one of its pieces and isolates the piece at the limit.
 fn record_crash(batcher: &Batcher, piece: PieceKey, is_single_request: bool) {
     let mut queue = batcher.queue.borrow_mut();
     let Some(job) = queue.job_mut(piece) else {
--- a/crates/gateway/src/request/attempt.rs
+++ b/crates/gateway/src/request/attempt.rs
@@ -74,7 +74,8 @@
         }
     }
 
-    /// What the failure counts as for the target's version, `after` the send; `None` if nothing.
+    /// Outcome that counts for the target's version, `after` the send; `None` if the failure
+    /// doesn't count.
     pub fn outcome(&self, after: Duration) -> Option<Outcome> {
         match self.progress {
             Progress::Broken if self.is_error_answer => Some(Outcome::Failed),
@@ -194,7 +195,7 @@
     if status.is_success() && !head.sealed {
         return Err(Failure::new(
             Progress::Broken,
-            "a successful answer without its seal",
+            "the successful answer has no seal",
         ));
     }
     Ok(())
--- a/crates/gateway/src/request/forecast.rs
+++ b/crates/gateway/src/request/forecast.rs
@@ -55,7 +55,7 @@
         Verdict::Admit => Ok(()),
         Verdict::CannotFinish(needed_ms) => {
             let overdue = Duration::from_millis(needed_ms).saturating_sub(time_left);
-            let detail = format!("it would need about {needed_ms} ms");
+            let detail = format!("the request would need about {needed_ms} ms");
             let refusal = Refusal::new(ErrorKind::CannotFinish, detail);
             Err(refusal.with_retry_after(retry_after(admitted, overdue)))
         }
--- a/crates/gateway/src/request/prepare/mod.rs
+++ b/crates/gateway/src/request/prepare/mod.rs
@@ -56,9 +56,9 @@
         result = run.run() => result,
         () = timeout => Err(Refusal::new(
             ErrorKind::CannotFinish,
-            "its time ended in its stages",
+            "the stages were not completed before their deadline",
         )),
-        () = cx.last_call.notified() => Err(Refusal::new(
+        () = cx.final_shutdown.notified() => Err(Refusal::new(
             ErrorKind::Stopping,
             "this entry stopped before the stages completed",
         )),
--- a/crates/gateway/src/request/prepare/stage_run.rs
+++ b/crates/gateway/src/request/prepare/stage_run.rs
@@ -222,7 +222,7 @@
             }
             PieceFailure::Late => Err(Refusal::new(
                 ErrorKind::CannotFinish,
-                format!("stage {} came too late", index.stage),
+                format!("stage {} was not completed in time", index.stage),
             )),
             _ => Err(Refusal::new(
                 ErrorKind::StageFailed,
--- a/crates/gateway/src/rollouts/active.rs
+++ b/crates/gateway/src/rollouts/active.rs
@@ -97,8 +97,8 @@
 
     /// True if the phase in use has changed since the last call.
     pub fn update_phase_in_use(&self, cx: &Traffic) -> bool {
-        let now = self.phase_in_use(cx);
-        self.last_in_use.replace(now) != now
+        let phase = self.phase_in_use(cx);
+        self.last_in_use.replace(phase) != phase
     }
 
     /// True once nothing is left to decide, send or write.
--- a/crates/gateway/src/rollouts/leader.rs
+++ b/crates/gateway/src/rollouts/leader.rs
@@ -75,12 +75,12 @@
         drop(leadership);
         let (reply, recorded) = oneshot::channel();
         let placed = active.placed.clone();
-        let order = RecordPhase {
+        let request = RecordPhase {
             placed,
             phase,
             reply,
         };
-        if let Err(err) = self.to_store.try_send(order) {
+        if let Err(err) = self.to_store.try_send(request) {
             log::warn!("cannot queue a roll-out phase for writing, will retry: {err}");
         }
         let (cx, active) = (cx.clone(), active.clone());
--- a/crates/gateway/src/rollouts/mod.rs
+++ b/crates/gateway/src/rollouts/mod.rs
@@ -386,10 +386,10 @@
 
 /// Chooses some of the targets, the same at all entries that know the same ones.
 fn choose_some(mut targets: Vec<Rc<Target>>, count: impl Fn(usize) -> usize) -> Vec<Rc<Target>> {
-    let most = count(targets.len());
-    if most < targets.len() {
+    let max_count = count(targets.len());
+    if max_count < targets.len() {
         targets.sort_by_cached_key(|target| rendezvous::score("rollout", &target.incarnation().id));
-        targets.truncate(most);
+        targets.truncate(max_count);
     }
     targets
 }
--- a/crates/gateway/src/target_calls.rs
+++ b/crates/gateway/src/target_calls.rs
@@ -1,7 +1,7 @@
 //! Requests to targets.
 //!
-//! All requests to targets pass through here, so that what a target reports of itself in an
-//! answer takes effect ([`crate::target_reports`]) before the answer is used.
+//! All requests to targets pass through here, so that a target's reports in an answer
+//! ([`crate::target_reports`]) take effect before the answer is used.
 
 use std::rc::Rc;
 
--- a/crates/gateway/src/target_reports.rs
+++ b/crates/gateway/src/target_reports.rs
@@ -7,10 +7,10 @@
 //! entries that place requests for others need it too.
 //!
 //! An answer from another incarnation at the target's address means that this incarnation has
-//! crashed; it is handled in the same way. Otherwise requests would be sent in vain to
-//! addresses of crashed targets while the store is unreachable.
+//! crashed; it is handled in the same way. Otherwise entries would keep sending requests to
+//! crashed targets while the store is unreachable.
 //!
-//! A limited target reports how many requests per second it takes from all entries together.
+//! A limited target reports how many requests per second it accepts from all entries together.
 //! Records do not contain limits, so they are broadcast at once. New entries receive the
 //! limits in force, and the owner of a scheduler receives them again from the entries it
 //! places requests for.
@@ -38,8 +38,8 @@
 use crate::traffic::Traffic;
 
 /// How long an entry waits for a target's record to confirm a report before it requests a
-/// broadcast. A record takes up to the pause of a watch (250 to 625 ms) and two hops.
-const RECORD_WITHIN: Duration = Duration::from_millis(700);
+/// broadcast: longer than the pause of a watch and two hops.
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Applies the reports in the headers of an answer to a request that was sent at `sent_at` or
 /// later.
@@ -163,20 +163,20 @@
     }
 }
 
-/// A peer sent a reported limit. With `tell_others` this entry broadcasts it.
+/// A peer sent a reported limit. With `broadcast` this entry forwards it to all others.
 pub fn on_limit_notice(
     cx: &Rc<Traffic>,
     incarnation: &Incarnation,
     notice: LimitNotice,
-    tell_others: bool,
+    broadcast: bool,
 ) {
     let now = cx.clock.now();
     let report = LimitReport {
         per_s: notice.per_s,
-        sent_at: now.saturating_sub(notice.asked_ms),
-        received_at: now.saturating_sub(notice.heard_ms),
+        sent_at: now.saturating_sub(notice.sent_ms),
+        received_at: now.saturating_sub(notice.received_ms),
     };
-    if record_limit(cx, incarnation, report, "peer") && tell_others {
+    if record_limit(cx, incarnation, report, "peer") && broadcast {
         request_limit_broadcast_throttled(cx, incarnation);
     }
 }
@@ -212,17 +212,17 @@
     cx: &Traffic,
     incarnation: &Incarnation,
     report: LimitReport,
-    tell_others: bool,
+    broadcast: bool,
 ) -> Message {
     let now = cx.clock.now();
     Message::TargetLimit {
         target: incarnation.clone(),
         limit: LimitNotice {
             per_s: report.per_s,
-            asked_ms: now.saturating_sub(report.sent_at),
-            heard_ms: now.saturating_sub(report.received_at),
+            sent_ms: now.saturating_sub(report.sent_at),
+            received_ms: now.saturating_sub(report.received_at),
         },
-        tell_others,
+        broadcast,
     }
 }
 
@@ -236,27 +236,27 @@
     format!("words/{}", incarnation.id)
 }
 
-/// A peer reported a draining target. With `tell_others` this entry broadcasts it.
-pub fn on_draining_notice(cx: &Rc<Traffic>, incarnation: &Incarnation, tell_others: bool) {
+/// A peer reported a draining target. With `broadcast` this entry forwards it to all others.
+pub fn on_draining_notice(cx: &Rc<Traffic>, incarnation: &Incarnation, broadcast: bool) {
     if cx.mark_draining(incarnation) {
         log_draining(cx, incarnation, "peer");
     }
-    if tell_others {
+    if broadcast {
         broadcast_draining(cx, incarnation);
     }
 }
 
-/// Requests a broadcast that a target is draining, unless its record says so.
+/// Requests a broadcast that a target is draining, unless its record confirms it in time.
 async fn request_draining_broadcast(cx: Rc<Traffic>, incarnation: Incarnation) {
-    tokio::time::sleep(RECORD_WITHIN).await;
+    tokio::time::sleep(CONFIRMATION_TIMEOUT).await;
     if cx.view().targets.draining.contains(&incarnation) {
         return;
     }
     match coordinator_of(&cx, &incarnation) {
         Owner::Me => broadcast_draining(&cx, &incarnation),
-        Owner::Peer(link) => link.send(Message::TargetLeaves {
+        Owner::Peer(link) => link.send(Message::TargetDraining {
             target: incarnation,
-            tell_others: true,
+            broadcast: true,
         }),
     }
 }
@@ -267,9 +267,9 @@
         return;
     }
     for link in cx.peers.links_to_all(cx) {
-        link.send(Message::TargetLeaves {
+        link.send(Message::TargetDraining {
             target: incarnation.clone(),
-            tell_others: false,
+            broadcast: false,
         });
     }
 }
--- a/crates/gateway/src/traffic.rs
+++ b/crates/gateway/src/traffic.rs
@@ -108,7 +108,7 @@
     pub lag: Cell<EventLoopLag>,
     /// Notified shortly before the process exits: requests not sent to a target yet are
     /// refused.
-    pub last_call: Notify,
+    pub final_shutdown: Notify,
     /// Notified when idle connections of callers have to close.
     pub close_idle: Notify,
     /// Notified with each view that has a configuration.
@@ -151,7 +151,7 @@
                 connections: Cell::new(0),
                 stopping: Cell::new(Stopping::No),
                 lag: Cell::default(),
-                last_call: Notify::new(),
+                final_shutdown: Notify::new(),
                 close_idle: Notify::new(),
                 configured: Notify::new(),
             })
