--- a/crates/bench/src/decision.rs
+++ b/crates/bench/src/decision.rs
@@ -79,7 +79,7 @@
     let started = Instant::now();
     let mut found = 0u32;
     for _ in 0..ROUNDS {
-        let admitted = admission::judge(&worker, deployment, org, job.pipeline, 10_000);
+        let admitted = admission::admit_request(&worker, deployment, org, job.pipeline, 10_000);
         let route = routes::find(&task, 1, &[], None, REMAINING).await;
         found += u32::from(admitted.is_ok() && matches!(route, RouteOutcome::Route(_)));
     }
--- a/crates/connect/src/dial.rs
+++ b/crates/connect/src/dial.rs
@@ -21,16 +21,16 @@
         source: std::io::Error,
     },
     /// The peer did not answer within the timeout.
-    #[snafu(display("no connection to {addr} within {} ms; check its network", within.as_millis()))]
-    TimedOut { addr: SocketAddr, within: Duration },
+    #[snafu(display("no connection to {addr} within {} ms; check its network", timeout.as_millis()))]
+    TimedOut { addr: SocketAddr, timeout: Duration },
 }
 
-/// Connects to `addr`; fails when that takes longer than `within`.
-pub async fn dial(addr: SocketAddr, within: Duration) -> Result<TcpStream, DialError> {
-    let stream = match tokio::time::timeout(within, TcpStream::connect(addr)).await {
+/// Connects to `addr`; fails after `timeout`.
+pub async fn dial(addr: SocketAddr, timeout: Duration) -> Result<TcpStream, DialError> {
+    let stream = match tokio::time::timeout(timeout, TcpStream::connect(addr)).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(source)) => return Err(DialError::Refused { addr, source }),
-        Err(_) => return Err(DialError::TimedOut { addr, within }),
+        Err(_) => return Err(DialError::TimedOut { addr, timeout }),
     };
     let options = SockRef::from(&stream);
     options
--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -7,13 +7,13 @@
 use hollowsail_config::{Deployment, OrganisationKey, PipelineKey, Service};
 use hollowsail_routing::{admit, Rank, ServiceLoad, StageDemand, Verdict};
 
-use crate::holdings::Admitted;
+use crate::in_flight_by_org::Admitted;
 use crate::kinds::ErrorKind;
 use crate::view::View;
 use crate::worker::Worker;
 
 /// Admits a request, or refuses it with [`ErrorKind::CannotFinish`].
-pub fn judge(
+pub fn admit_request(
     worker: &Worker,
     deployment: &Deployment,
     org: OrganisationKey,
@@ -22,8 +22,8 @@
 ) -> Result<Admitted, (ErrorKind, String)> {
     let organisation = deployment.organisation(org);
     let (name, weight) = (&organisation.name, organisation.weight);
-    let holding = worker.entry.holdings.of(name, weight);
-    let over_share = worker.entry.switches.fair_shares && holding.is_over_share();
+    let usage = worker.entry.in_flight_by_org.usage_of(name, weight);
+    let over_share = worker.entry.switches.fair_shares && usage.is_over_share();
     if worker.entry.switches.early_refusal {
         let view = worker.entry.view();
         let priority = deployment.pipeline(pipeline).priority;
@@ -37,7 +37,10 @@
             return Err((ErrorKind::CannotFinish, message));
         }
     }
-    Ok(worker.entry.holdings.admit(name, weight, over_share))
+    Ok(worker
+        .entry
+        .in_flight_by_org
+        .admit(name, weight, over_share))
 }
 
 /// Expected time and service load of each stage of a pipeline. Empty when the
--- a/crates/entry/src/apply.rs
+++ b/crates/entry/src/apply.rs
@@ -28,7 +28,7 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 /// Interval between two checks which entries have the revision in force.
 const IN_FORCE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Longest wait until a revision is in force everywhere; limits `wait_ms`.
+/// Maximum wait until a revision is in force everywhere; limits `wait_ms`.
 const MAX_WAIT_MS: u64 = 60_000;
 
 /// Body of an apply request.
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -21,7 +21,7 @@
 use crate::routes::{self, Route, RouteOutcome};
 use crate::task::{Failure, StageTask};
 
-/// Most attempts at one stage.
+/// Maximum number of attempts at one stage.
 const MAX_ATTEMPTS: usize = 3;
 
 /// The attempts of one stage.
@@ -182,10 +182,10 @@
 
 fn report(task: &StageTask<'_>, route: &Route, done: &Dispatched) {
     let ms = done.waited.as_millis() as u64;
-    let (observation, notice) = match &done.result {
-        Ok((_, notice)) => (Observation::Answered(ms), *notice),
+    let (observation, target_reports) = match &done.result {
+        Ok((_, target_reports)) => (Observation::Answered(ms), *target_reports),
         Err(err) => {
-            let notice = TargetReports {
+            let target_reports = TargetReports {
                 draining: err.draining,
                 load: None,
             };
@@ -193,7 +193,7 @@
                 true => Observation::TimedOut(ms),
                 false => Observation::Failed,
             };
-            (observation, notice)
+            (observation, target_reports)
         }
     };
     task.worker.entry.report(AttemptReport {
@@ -202,7 +202,7 @@
         pipeline: task.job.pipeline,
         stage: task.stage_index,
         observation,
-        notice,
+        target_reports,
     });
 }
 
--- a/crates/entry/src/attempt_report.rs
+++ b/crates/entry/src/attempt_report.rs
@@ -15,5 +15,5 @@
     pub pipeline: PipelineKey,
     pub stage: usize,
     pub observation: Observation,
-    pub notice: TargetReports,
+    pub target_reports: TargetReports,
 }
--- a/crates/entry/src/context.rs
+++ b/crates/entry/src/context.rs
@@ -14,7 +14,7 @@
 use crate::configuration::Configuration;
 use crate::crashes::Crashes;
 use crate::events::{self, Event};
-use crate::holdings::Holdings;
+use crate::in_flight_by_org::InFlightByOrg;
 use crate::metrics;
 use crate::once_ledger::OnceLedger;
 use crate::view::View;
@@ -32,7 +32,7 @@
     /// Number of requests being served, for planned stops and the limit.
     pub in_flight: Arc<AtomicU32>,
     /// Requests in flight by organisation.
-    pub holdings: Arc<Holdings>,
+    pub in_flight_by_org: Arc<InFlightByOrg>,
     /// Requests that are known to crash targets.
     pub crashes: Crashes,
     next_run: AtomicU64,
@@ -57,7 +57,7 @@
             view: ArcSwap::from_pointee(view),
             once: Mutex::new(once),
             in_flight: Arc::default(),
-            holdings: Arc::default(),
+            in_flight_by_org: Arc::default(),
             crashes: Crashes::default(),
             next_run: AtomicU64::new(1),
             reports: OnceLock::new(),
--- a/crates/entry/src/control/claim_expiry.rs
+++ b/crates/entry/src/control/claim_expiry.rs
@@ -16,7 +16,7 @@
 
 /// Time to live of the key of an expired claim.
 const EXPIRED_KEY_TTL: Duration = Duration::from_secs(1);
-/// Most keys queued for removal; beyond it the oldest stay in the store.
+/// Maximum number of keys queued for removal; beyond it the oldest stay in the store.
 const MAX_QUEUED: usize = 100_000;
 
 /// Hashes of expired claims whose keys are still in the store.
--- a/crates/entry/src/control/config_sync.rs
+++ b/crates/entry/src/control/config_sync.rs
@@ -28,13 +28,13 @@
 const WATCH_WAIT: Duration = Duration::from_secs(10);
 /// Backoff after the first failed store call; doubles up to [`MAX_BACKOFF`].
 const MIN_BACKOFF: Duration = Duration::from_millis(250);
-/// Longest backoff of store calls.
+/// Maximum backoff of store calls.
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
 /// Interval between two checks whether this entry should watch the store.
 const WATCH_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Longest wait for a peer's reply with chunks.
+/// Timeout of a request for chunks from a peer.
 const PEER_TIMEOUT: Duration = Duration::from_secs(3);
-/// Largest reply with chunks, in bytes.
+/// Maximum size of a reply with chunks, in bytes.
 const MAX_CHUNKS_BYTES: usize = 8 * 1024 * 1024;
 
 /// State of the store connection and of the fetches in progress.
--- a/crates/entry/src/control/gossip.rs
+++ b/crates/entry/src/control/gossip.rs
@@ -14,9 +14,9 @@
 use crate::auth::{peer_token, PEER_HEADER};
 use crate::control::Control;
 
-/// Longest wait for a peer's reply.
+/// Timeout of an exchange with a peer.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Largest reply in bytes; a joining entry receives the whole member list.
+/// Maximum size of a reply, in bytes; a joining entry receives the whole member list.
 const MAX_EXCHANGE_BYTES: usize = 1024 * 1024;
 /// Peers notified immediately of an update.
 const UPDATE_FANOUT: usize = 3;
--- a/crates/entry/src/control/health.rs
+++ b/crates/entry/src/control/health.rs
@@ -135,7 +135,7 @@
         let typical_ms = self.typical_ms(report.pipeline, report.stage);
         if let Some(state) = self.targets.get_mut(report.target.index()) {
             state.health.observe(report.observation, typical_ms);
-            if let Some(load) = report.notice.load {
+            if let Some(load) = report.target_reports.load {
                 state.reported_load = Some((f64::from(load), now));
             }
         }
@@ -268,7 +268,7 @@
         let now = self.now();
         self.health.record(now, report);
         let current = self.configuration.as_ref().map(|c| c.revision());
-        if report.notice.draining && current == Some(report.revision) {
+        if report.target_reports.draining && current == Some(report.revision) {
             let name = self
                 .configuration
                 .as_ref()
--- a/crates/entry/src/control/host_list.rs
+++ b/crates/entry/src/control/host_list.rs
@@ -57,7 +57,7 @@
         let outdated = self
             .hosts
             .last_read_at
-            .is_none_or(|at| now - at >= MAX_LIST_AGE_MS);
+            .is_none_or(|read_at| now - read_at >= MAX_LIST_AGE_MS);
         let unsettled = !self.fleet.hosts.is_settled();
         outdated
             || unsettled
--- a/crates/entry/src/control/messages.rs
+++ b/crates/entry/src/control/messages.rs
@@ -142,7 +142,7 @@
 }
 
 impl MemberStatus {
-    fn new(member: &Member, heard_ms_ago: Option<u64>) -> Self {
+    fn new(member: &Member, received_ms_ago: Option<u64>) -> Self {
         MemberStatus {
             name: member.name.clone(),
             hall: member.hall.clone(),
@@ -150,7 +150,7 @@
             health: format!("{:?}", member.health),
             stopping: format!("{:?}", member.stopping),
             revision: member.revision,
-            heard_ms_ago,
+            heard_ms_ago: received_ms_ago,
         }
     }
 }
@@ -179,7 +179,7 @@
             (once.open_record_count(), once.record_count())
         };
         let view = self.entry.view();
-        let standing = match view.connectivity {
+        let connectivity = match view.connectivity {
             Connectivity::Starting => "starting",
             Connectivity::InTouch => "in touch",
             Connectivity::Isolated => "isolated",
@@ -187,7 +187,7 @@
         let own = self.fleet.own();
         let others = self.fleet.others().into_iter().map(|member| {
             let last_received = self.fleet.last_received(member.incarnation);
-            MemberStatus::new(member, last_received.map(|at| now - at))
+            MemberStatus::new(member, last_received.map(|time| now - time))
         });
         let members = std::iter::once(MemberStatus::new(own, Some(0)))
             .chain(others)
@@ -195,10 +195,10 @@
         MessageResult(StatusReply(StatusReport {
             entry: self.entry.settings.name.clone(),
             revision: view.revision(),
-            revision_age_ms: self.in_force_since.map(|at| now - at),
+            revision_age_ms: self.in_force_since.map(|since| now - since),
             apply_id: self.configuration.as_ref().map(|c| c.head.apply_id.clone()),
-            standing: standing.into(),
-            store_age_ms: self.config_sync.last_store_answer.map(|at| now - at),
+            standing: connectivity.into(),
+            store_age_ms: self.config_sync.last_store_answer.map(|time| now - time),
             ledger_open: open,
             ledger_records: records,
             members,
--- a/crates/entry/src/control/mod.rs
+++ b/crates/entry/src/control/mod.rs
@@ -30,7 +30,7 @@
 
 pub use messages::{Adopt, AnnounceLeft, BeginStop, Drain, ReceivedExchange, Status, StatusReport};
 
-/// Most messages queued for the control thread.
+/// Maximum number of messages queued for the control thread.
 const MAILBOX_CAPACITY: usize = 4096;
 /// Interval between two evaluations of target health.
 const HEALTH_INTERVAL: Duration = Duration::from_millis(50);
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -135,7 +135,8 @@
     partial: &mut Partial,
     sink: Option<&Sink>,
 ) -> Result<(Value, TargetReports), CallError> {
-    let (mut stream, notice) = target::open_stream(client, route.address, org, call, limit).await?;
+    let (mut stream, target_reports) =
+        target::open_stream(client, route.address, org, call, limit).await?;
     loop {
         match stream.next().await? {
             StreamStep::Token(text) => {
@@ -146,7 +147,7 @@
             }
             StreamStep::End => {
                 let output = json!({ "text": partial.text, "tokens": partial.tokens });
-                return Ok((output, notice));
+                return Ok((output, target_reports));
             }
         }
     }
--- a/crates/entry/src/headers.rs
+++ b/crates/entry/src/headers.rs
@@ -23,8 +23,8 @@
 pub const HOPS: &str = "hollowsail-hops";
 /// Headers of requests that run at most once.
 pub const ONCE: [&str; 3] = [TICKET, IDEMPOTENCY_KEY, IDEMPOTENCY_TIME];
-/// Longest request id in characters.
-const MAX_ID: usize = 64;
+/// Maximum length of a request id, in characters.
+const MAX_ID_LEN: usize = 64;
 
 /// Value of a header; `None` if absent or not visible ASCII.
 pub fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
@@ -37,9 +37,9 @@
         return Ok(format!("{:016x}", rand::rng().random::<u64>()));
     };
     let allowed = |c: char| c.is_ascii_alphanumeric() || "-_.:".contains(c);
-    if id.is_empty() || id.len() > MAX_ID || !id.chars().all(allowed) {
+    if id.is_empty() || id.len() > MAX_ID_LEN || !id.chars().all(allowed) {
         return Err(format!(
-            "header {REQUEST} is malformed: expected 1 to {MAX_ID} characters out of \
+            "header {REQUEST} is malformed: expected 1 to {MAX_ID_LEN} characters out of \
              letters, digits and -_.:"
         ));
     }
--- a/crates/entry/src/holdings.rs
+++ b/crates/entry/src/in_flight_by_org.rs
@@ -7,10 +7,10 @@
 
 /// Counts of requests in flight by organisation.
 #[derive(Debug, Default)]
-pub struct Holdings(Mutex<HashMap<String, Held>>);
+pub struct InFlightByOrg(Mutex<HashMap<String, OrgCount>>);
 
 #[derive(Debug, Clone, Copy)]
-struct Held {
+struct OrgCount {
     count: u32,
     weight: u32,
 }
@@ -18,7 +18,7 @@
 /// An admitted request; counts as in flight until dropped.
 #[derive(Debug)]
 pub struct Admitted {
-    holdings: Arc<Holdings>,
+    counts: Arc<InFlightByOrg>,
     org: String,
     /// Its organisation exceeded its share when it was admitted: it queues behind others.
     pub over_share: bool,
@@ -26,28 +26,28 @@
 
 impl Drop for Admitted {
     fn drop(&mut self) {
-        let mut all = self.holdings.0.lock().expect("no panic while held");
-        if let Some(held) = all.get_mut(&self.org) {
-            held.count -= 1;
-            if held.count == 0 {
+        let mut all = self.counts.0.lock().expect("no panic while held");
+        if let Some(org_count) = all.get_mut(&self.org) {
+            org_count.count -= 1;
+            if org_count.count == 0 {
                 all.remove(&self.org);
             }
         }
     }
 }
 
-impl Holdings {
+impl InFlightByOrg {
     /// Requests in flight of an organisation, compared with all others.
-    pub fn of(&self, org: &str, weight: u32) -> Holding {
+    pub fn usage_of(&self, org: &str, weight: u32) -> Holding {
         let all = self.0.lock().expect("no panic while held");
         let others: u32 = all
             .iter()
             .filter(|(name, _)| *name != org)
-            .map(|(_, held)| held.weight)
+            .map(|(_, org_count)| org_count.weight)
             .sum();
         Holding {
-            own: all.get(org).map_or(0, |held| held.count),
-            all: all.values().map(|held| held.count).sum(),
+            own: all.get(org).map_or(0, |org_count| org_count.count),
+            all: all.values().map(|org_count| org_count.count).sum(),
             share: f64::from(weight) / f64::from(weight + others),
         }
     }
@@ -55,13 +55,13 @@
     /// Counts a request of an organisation until the result is dropped.
     pub fn admit(self: &Arc<Self>, org: &str, weight: u32, over_share: bool) -> Admitted {
         let mut all = self.0.lock().expect("no panic while held");
-        let held = all
+        let org_count = all
             .entry(org.to_string())
-            .or_insert(Held { count: 0, weight });
-        held.count += 1;
-        held.weight = weight;
+            .or_insert(OrgCount { count: 0, weight });
+        org_count.count += 1;
+        org_count.weight = weight;
         Admitted {
-            holdings: self.clone(),
+            counts: self.clone(),
             org: org.into(),
             over_share,
         }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -21,7 +21,7 @@
 pub mod dispatch;
 pub mod gate;
 pub mod headers;
-pub mod holdings;
+pub mod in_flight_by_org;
 pub mod job;
 pub mod metrics;
 pub mod once_ledger;
--- a/crates/entry/src/once_ledger.rs
+++ b/crates/entry/src/once_ledger.rs
@@ -21,7 +21,7 @@
 /// A retained answer: the JSON body sent to the caller.
 pub type RetainedAnswer = Vec<u8>;
 
-/// Most store calls of one claim.
+/// Maximum number of store calls for one claim.
 const MAX_CLAIM_STEPS: u32 = 4;
 
 /// The ledger, the waiters and the claim rate limit.
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -11,7 +11,7 @@
 use crate::metrics;
 use crate::worker::Worker;
 
-/// Largest body of an apply request, in bytes.
+/// Maximum body size of an apply request, in bytes.
 pub const MAX_APPLY_BYTES: usize = 16 * 1024 * 1024;
 
 /// Body of a drain request.
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -19,8 +19,8 @@
 use crate::tickets::{self, TicketQuery};
 use crate::worker::Worker;
 
-/// Largest body of a request from a peer, in bytes.
-pub const MAX_PEER_BODY: usize = 64 * 1024 * 1024;
+/// Maximum body size of a peer's request, in bytes.
+pub const MAX_PEER_BODY_BYTES: usize = 64 * 1024 * 1024;
 
 /// Routes of the peers' listener.
 pub fn routes(cfg: &mut web::ServiceConfig) {
--- a/crates/entry/src/pipeline.rs
+++ b/crates/entry/src/pipeline.rs
@@ -14,7 +14,7 @@
 use crate::answer::{AnswerBody, StageReport};
 use crate::attempt::{self, StageRun};
 use crate::events;
-use crate::holdings::Admitted;
+use crate::in_flight_by_org::Admitted;
 use crate::job::{Job, Sink};
 use crate::kinds::ErrorKind;
 use crate::metrics;
@@ -34,7 +34,7 @@
         })
         .and_then(|org| {
             worker.entry.crashes.check(worker.entry.now(), job)?;
-            admission::judge(worker, deployment, org, job.pipeline, job.remaining_ms())
+            admission::admit_request(worker, deployment, org, job.pipeline, job.remaining_ms())
         });
     match admitted {
         Ok(admitted) => run_stages(worker, job, &admitted, sink).await,
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -26,8 +26,8 @@
 
 /// Idle timeout of connections.
 const KEEP_ALIVE: Duration = Duration::from_secs(15);
-/// Longest wait for open connections when the listeners close; requests have ended
-/// by then.
+/// Timeout for open connections when the listeners close, in seconds; requests have
+/// ended by then.
 const SHUTDOWN_SECONDS: u64 = 5;
 
 /// Failure to start an entry.
@@ -207,7 +207,7 @@
     let server = HttpServer::new(move || {
         App::new()
             .app_data(web::Data::new(Worker::new(shared.clone(), control.clone())))
-            .app_data(web::PayloadConfig::new(peers::MAX_PEER_BODY))
+            .app_data(web::PayloadConfig::new(peers::MAX_PEER_BODY_BYTES))
             .configure(routes)
     })
     .workers(entry.settings.limits.threads)
--- a/crates/entry/src/stop.rs
+++ b/crates/entry/src/stop.rs
@@ -19,15 +19,15 @@
 use crate::control::{AnnounceLeft, BeginStop, Control};
 use crate::events;
 
-/// Longest wait for requests in flight; above the longest deadline of a pipeline.
-const DRAIN_LIMIT: Duration = Duration::from_secs(130);
+/// Timeout for requests in flight; above the longest deadline of a pipeline.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(130);
 /// Interval between two checks of the requests in flight.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Most attempts to hand over to one successor.
+/// Maximum number of attempts to hand over to one successor.
 const HAND_OVER_ATTEMPTS: u32 = 20;
 /// Pause between two attempts.
 const HAND_OVER_PAUSE: Duration = Duration::from_millis(250);
-/// Longest wait for a successor's answer to one attempt.
+/// Timeout of one hand-over attempt.
 const HAND_OVER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Runs a planned stop, up to closing the listeners.
@@ -55,7 +55,7 @@
             tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
         }
     };
-    let _ = tokio::time::timeout(DRAIN_LIMIT, wait).await;
+    let _ = tokio::time::timeout(DRAIN_TIMEOUT, wait).await;
     entry.log(events::STOP_DRAINED, format_args!("left={}", active()));
 }
 
--- a/crates/entry/src/streaming.rs
+++ b/crates/entry/src/streaming.rs
@@ -20,7 +20,7 @@
 use crate::view::InFlight;
 use crate::worker::Worker;
 
-/// Most events buffered for a slow caller.
+/// Maximum number of events buffered for a slow caller.
 const EVENT_BUFFER: usize = 64;
 
 enum Event {
--- a/crates/entry/src/tickets.rs
+++ b/crates/entry/src/tickets.rs
@@ -18,7 +18,7 @@
 use crate::validate::{is_permitted_here, no_permitted_entry, permitted_entries, ValidatedRequest};
 use crate::worker::Worker;
 
-/// Most tickets issued by one call.
+/// Maximum number of tickets issued by one call.
 const MAX_TICKETS: usize = 1000;
 
 /// Body of the response to a ticket request.
@@ -97,7 +97,7 @@
     })
 }
 
-/// Longest wait for tickets of another entry.
+/// Timeout of a ticket request to another entry.
 const RELAY_TIMEOUT: Duration = Duration::from_secs(2);
 
 async fn relay_tickets(
--- a/crates/entry/src/validate.rs
+++ b/crates/entry/src/validate.rs
@@ -38,8 +38,8 @@
     }
 }
 
-/// Weakens "not run" to "unknown" for a request with a ticket or idempotency key:
-/// an earlier send of it may have run, which only the responsible ledger knows.
+/// Changes the outcome "not run" to "unknown" for a request with a ticket or idempotency
+/// key: an earlier send may have run, which only the responsible ledger records.
 pub fn with_possible_earlier_send(headers: &HeaderMap, refusal: Refusal) -> Refusal {
     match headers::runs_once(headers) {
         true => refusal.into_unknown(),
--- a/crates/entry/src/view.rs
+++ b/crates/entry/src/view.rs
@@ -22,7 +22,7 @@
     /// Ratio of recent to typical latency; 1 is normal.
     pub slowness: f64,
     pub ejected: bool,
-    /// Neither draining nor gone.
+    /// Neither draining nor missing from the host list.
     pub takes_work: bool,
     /// Load that the target last reported; 0 when it reported none.
     pub reported_load: f64,
--- a/crates/gateway/src/request/attempt.rs
+++ b/crates/gateway/src/request/attempt.rs
@@ -113,7 +113,7 @@
     target: &Rc<Target>,
     options: &AttemptOptions<'_>,
 ) -> Result<TargetAnswer, Failure> {
-    let in_flight = target.enter(options.prefill_tokens);
+    let in_flight = target.track_request(options.prefill_tokens);
     let sent = BootInstant::now();
     let req = request_for(admitted, target, options);
     let reuse = match admitted.route().repeat {
--- a/crates/gateway/src/traffic.rs
+++ b/crates/gateway/src/traffic.rs
@@ -192,7 +192,7 @@
                 usable, draining, ..
             } = &*newest.targets;
             let mut targets = self.targets.borrow_mut();
-            changed = targets.take(now, deployment, usable, draining);
+            changed = targets.update(now, deployment, usable, draining);
         }
         let peers_changed = !Arc::ptr_eq(&before.peers, &newest.peers);
         if peers_changed {
@@ -350,7 +350,7 @@
         let deployment = view.deployment.as_ref();
         let key = deployment.and_then(|deployment| deployment.service_named(service));
         match key {
-            Some(key) => read(self.targets.borrow().of(key)),
+            Some(key) => read(self.targets.borrow().targets_of(key)),
             None => read(&[]),
         }
     }
--- a/crates/gateway/tests/suite/all_kinds.rs
+++ b/crates/gateway/tests/suite/all_kinds.rs
@@ -33,7 +33,7 @@
 pub fn whole_answer(request: &ReceivedRequest, sign: impl Fn(Vec<u8>) -> Vec<u8>) -> Vec<Step> {
     let is_stream = !request.header("x-token-counts").is_empty();
     let head = match request.path.as_str() {
-        "/-/stage-run" | "/-/stage-free" => results(request, "maker"),
+        "/-/stage-run" | "/-/stage-free" => results(request, "producer"),
         _ if is_stream => stream_head(request),
         _ => answer(request, 200, "served"),
     };
--- a/crates/gateway/tests/suite/backoff.rs
+++ b/crates/gateway/tests/suite/backoff.rs
@@ -89,8 +89,8 @@
             break;
         }
     }
-    let (refused, begun) = (refusing.target.received().len(), Instant::now());
-    while begun.elapsed() < Duration::from_secs_f64(BACKOFF_S * 0.8) {
+    let (refused, started) = (refusing.target.received().len(), Instant::now());
+    while started.elapsed() < Duration::from_secs_f64(BACKOFF_S * 0.8) {
         let got = plain().send(fixture.gateway.addrs.callers).await;
         assert_eq!(got.status, 200, "the other target serves");
     }
@@ -223,7 +223,7 @@
     let (fixture, _engine) = Fixture::serving(&deployment(), "engines", single_event_stream).await;
     let worker = RefusingTarget::start(|request| {
         vec![Step::Write(hollowsail_platform_standins::target::results(
-            request, "maker",
+            request, "producer",
         ))]
     })
     .await;
--- a/crates/gateway/tests/suite/crashing.rs
+++ b/crates/gateway/tests/suite/crashing.rs
@@ -46,7 +46,7 @@
 }
 
 /// Crashes at the first token of a fatal request; serves a long one slowly, so that it runs
-/// beside others.
+/// alongside others.
 fn fragile(request: &ReceivedRequest) -> Vec<Step> {
     let body = String::from_utf8_lossy(&request.body);
     if body.starts_with("fatal") {
@@ -170,7 +170,7 @@
         assert_eq!(refused.status, 503, "{refused:?}");
         assert!(
             refused.header("retry-after").is_some(),
-            "the refusal says when to retry"
+            "the refusal has a Retry-After header"
         );
     }
     let good = request(100, "short").send(gateways[0].addrs.callers).await;
@@ -189,7 +189,7 @@
             request(number, "fatal").send(addr).await
         }
     };
-    // One engine, so that all requests run beside the fatal one.
+    // One engine, so that all requests run alongside the fatal one.
     for number in 0..2 {
         broken(number).await;
         eventually("the engine crashes", || engines.crashed() == number + 1).await;
@@ -228,7 +228,7 @@
     let work = Step::Wait(Duration::from_millis(20));
     match request.pieces().iter().any(is_fatal) {
         true => vec![work, Step::End],
-        false => vec![work, Step::Write(results(request, "maker"))],
+        false => vec![work, Step::Write(results(request, "producer"))],
     }
 }
 
--- a/crates/gateway/tests/suite/draining.rs
+++ b/crates/gateway/tests/suite/draining.rs
@@ -87,7 +87,7 @@
 
     /// Silences the store, lets a target drain, and sends requests to the first entry until it
     /// has passed on an answer with the report. Returns the number of requests that the target
-    /// received by the time all entries have to know.
+    /// received by the time at which all entries must have the report.
     async fn drain_while_store_silent(
         &self,
         draining_target: &DrainingTarget,
@@ -97,8 +97,8 @@
         draining_target.is_draining.set(true);
         let before = draining_target.request_count();
         for number in 0..200 {
-            let at = self.entries[0].addrs.callers;
-            request(1_000 + number).send(at).await;
+            let entry_addr = self.entries[0].addrs.callers;
+            request(1_000 + number).send(entry_addr).await;
             if draining_target.request_count() > before {
                 break;
             }
@@ -115,8 +115,8 @@
     /// Sends requests to all entries, each of which has to be served.
     async fn assert_all_served(&self, request: impl Fn(usize) -> Call) {
         for number in 0..SENDS {
-            let at = self.entries[number % self.entries.len()].addrs.callers;
-            let got = request(2_000 + number).send(at).await;
+            let entry_addr = self.entries[number % self.entries.len()].addrs.callers;
+            let got = request(2_000 + number).send(entry_addr).await;
             assert!(
                 got.status == 200 && got.is_whole,
                 "other targets serve: {got:?}"
@@ -142,7 +142,7 @@
 
 /// Drains a target while the store is silent, and checks that no entry sends to it once the
 /// first has received the report.
-async fn no_entry_uses_target_draining_in_silence(service: &str, request: fn(usize) -> Call) {
+async fn check_draining_with_silent_store(service: &str, request: fn(usize) -> Call) {
     let fleet = Fleet::start(service, 3).await;
     let draining_target = fleet.until_used(request).await;
     let received = fleet
@@ -158,12 +158,12 @@
 
 #[actix_rt::test]
 async fn draining_engine_gets_nothing_from_any_entry() {
-    no_entry_uses_target_draining_in_silence("engines", generation).await;
+    check_draining_with_silent_store("engines", generation).await;
 }
 
 #[actix_rt::test]
 async fn draining_plain_target_gets_nothing() {
-    no_entry_uses_target_draining_in_silence("plain", |_| plain()).await;
+    check_draining_with_silent_store("plain", |_| plain()).await;
 }
 
 #[actix_rt::test]
@@ -219,8 +219,8 @@
     let fleet = Fleet::start("plain", 1).await;
     let [draining_target, _] = &fleet.targets;
     draining_target.is_draining.set(true);
-    let at = fleet.entries[0].addrs.callers;
-    until_draining_reported(draining_target, at).await;
+    let entry_addr = fleet.entries[0].addrs.callers;
+    until_draining_reported(draining_target, entry_addr).await;
     let received = draining_target.request_count();
     let addr = draining_target.target.addr;
     let put = |state| {
@@ -234,7 +234,7 @@
     put("ready");
     tokio::time::sleep(Duration::from_millis(500)).await;
     for _ in 0..SENDS {
-        assert_eq!(plain().send(at).await.status, 200);
+        assert_eq!(plain().send(entry_addr).await.status, 200);
     }
     assert_eq!(draining_target.request_count(), received);
 }
@@ -245,7 +245,7 @@
 async fn rewritten_record_keeps_recorded_draining() {
     let fleet = Fleet::start("plain", 1).await;
     let [draining_target, _] = &fleet.targets;
-    let at = fleet.entries[0].addrs.callers;
+    let entry_addr = fleet.entries[0].addrs.callers;
     let addr = draining_target.target.addr;
     let put = |state| {
         fleet
@@ -260,7 +260,7 @@
     tokio::time::sleep(Duration::from_millis(500)).await;
     let received = draining_target.request_count();
     for _ in 0..SENDS {
-        assert_eq!(plain().send(at).await.status, 200);
+        assert_eq!(plain().send(entry_addr).await.status, 200);
     }
     assert_eq!(draining_target.request_count(), received);
 }
@@ -274,14 +274,14 @@
     fixture
         .store
         .put_incarnation("i-1", 1_000, "plain", first.target.addr);
-    let at = fixture.gateway.addrs.callers;
-    until_draining_reported(&first, at).await;
+    let entry_addr = fixture.gateway.addrs.callers;
+    until_draining_reported(&first, entry_addr).await;
     let second = DrainingTarget::start().await;
     fixture
         .store
         .put_incarnation("i-1", 2_000, "plain", second.target.addr);
     for _ in 0..400 {
-        plain().send(at).await;
+        plain().send(entry_addr).await;
         if second.request_count() > 0 {
             break;
         }
@@ -324,7 +324,7 @@
     assert_eq!(
         replaced.received().len(),
         received,
-        "all entries know of the crash"
+        "all entries have received the report"
     );
 }
 
@@ -352,9 +352,12 @@
 }
 
 /// Sends requests until the target has reported that it is draining.
-async fn until_draining_reported(draining_target: &DrainingTarget, at: std::net::SocketAddr) {
+async fn until_draining_reported(
+    draining_target: &DrainingTarget,
+    entry_addr: std::net::SocketAddr,
+) {
     for _ in 0..400 {
-        plain().send(at).await;
+        plain().send(entry_addr).await;
         if draining_target.request_count() > 0 {
             return;
         }
--- a/crates/gateway/tests/suite/fixture.rs
+++ b/crates/gateway/tests/suite/fixture.rs
@@ -16,13 +16,13 @@
 /// Timeout for conditions that have to come true.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Waits until `condition` is true; panics with `what` after a timeout.
-pub async fn eventually(what: &str, mut condition: impl FnMut() -> bool) {
+/// Waits until `condition` is true; panics with `description` after a timeout.
+pub async fn eventually(description: &str, mut condition: impl FnMut() -> bool) {
     let until = Instant::now() + WAIT_TIMEOUT;
     while !condition() {
         assert!(
             Instant::now() < until,
-            "timed out after {WAIT_TIMEOUT:?}: {what}"
+            "timed out after {WAIT_TIMEOUT:?}: {description}"
         );
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
@@ -86,8 +86,11 @@
 }
 
 /// Waits until the store has `entries` records of entries.
-pub async fn wait_for_entries(what: &str, store: &StoreStandin, entries: usize) {
-    eventually(what, || store.keys("hollowsail/peers/").len() == entries).await;
+pub async fn wait_for_entries(description: &str, store: &StoreStandin, entries: usize) {
+    eventually(description, || {
+        store.keys("hollowsail/peers/").len() == entries
+    })
+    .await;
 }
 
 /// A gateway and its store.
--- a/crates/gateway/tests/suite/forwarding.rs
+++ b/crates/gateway/tests/suite/forwarding.rs
@@ -329,7 +329,7 @@
 }
 
 #[actix_rt::test]
-async fn silent_target_is_replaced_before_the_deadline() {
+async fn silent_target_is_replaced_before_deadline() {
     let fixture = Fixture::start(&deployment()).await;
     let silent_from = 30;
     let target = TargetStandin::start(move |request| match request.earlier_requests {
--- a/crates/gateway/tests/suite/rollouts.rs
+++ b/crates/gateway/tests/suite/rollouts.rs
@@ -92,8 +92,8 @@
     while !is_over() {
         assert!(Instant::now() < until, "not reached within {timeout:?}");
         let calls = gateways.iter().flat_map(|gateway| {
-            let at = gateway.addrs.callers;
-            (0..4).map(move |_| async move { Call::new("GET", "/a/").send(at).await })
+            let addr = gateway.addrs.callers;
+            (0..4).map(move |_| async move { Call::new("GET", "/a/").send(addr).await })
         });
         let answers = futures_util::future::join_all(calls).await;
         sent.set(sent.get() + answers.len());
--- a/crates/gateway/tests/suite/sharing.rs
+++ b/crates/gateway/tests/suite/sharing.rs
@@ -36,9 +36,9 @@
         .body("prompt")
 }
 
-/// Has three gateways share a worker; `before` edits the store before the calls.
-async fn check_shared_worker(before: impl Fn(&StoreStandin)) {
-    check_shared_worker_in_fleet(0, before).await;
+/// Has three gateways share a worker; `edit_store` runs before the calls.
+async fn check_shared_worker(edit_store: impl Fn(&StoreStandin)) {
+    check_shared_worker_in_fleet(0, edit_store).await;
 }
 
 /// A worker that takes 150 ms for each call and counts calls that overlap.
@@ -54,13 +54,13 @@
         let (busy, overlap_count) = (active.clone(), overlaps.clone());
         let target = TargetStandin::start(move |request| {
             if request.path != "/-/stage-run" {
-                return vec![Step::Write(results(request, "maker"))];
+                return vec![Step::Write(results(request, "producer"))];
             }
             busy.set(busy.get() + 1);
             if busy.get() > 1 {
                 overlap_count.set(overlap_count.get() + 1);
             }
-            let (busy, answer) = (busy.clone(), results(request, "maker"));
+            let (busy, answer) = (busy.clone(), results(request, "producer"));
             actix_rt::spawn(async move {
                 tokio::time::sleep(Duration::from_millis(140)).await;
                 busy.set(busy.get() - 1);
@@ -96,7 +96,7 @@
 }
 
 /// Has three gateways share a worker in a fleet with `others` more entries on small hosts.
-async fn check_shared_worker_in_fleet(others: usize, before: impl Fn(&StoreStandin)) {
+async fn check_shared_worker_in_fleet(others: usize, edit_store: impl Fn(&StoreStandin)) {
     let (store, worker, _engine) = store_with_worker(others).await;
     let [first, second, owner] = hosts_owner_last("encoders/0");
     let mut gateways = Vec::new();
@@ -106,7 +106,7 @@
         // Lets it receive its own record first.
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    before(&store);
+    edit_store(&store);
     tokio::time::sleep(Duration::from_millis(600)).await;
     let calls = (0..12).map(|number| {
         let addr = gateways[number % 3].addrs.callers;
@@ -216,7 +216,8 @@
 async fn stopping_gateway_gets_no_pieces() {
     let store = StoreStandin::start().await;
     store.put("op/config", &deployment().bytes());
-    let worker = TargetStandin::start(|request| vec![Step::Write(results(request, "maker"))]).await;
+    let worker =
+        TargetStandin::start(|request| vec![Step::Write(results(request, "producer"))]).await;
     let engine = TargetStandin::start(single_event_stream).await;
     store.put_target("i-worker", "encoders", worker.addr, "hall-a", "ready");
     store.put_target("i-engine", "engines", engine.addr, "hall-a", "ready");
@@ -291,7 +292,7 @@
         } else {
             0
         });
-        vec![Step::Wait(work), Step::Write(results(request, "maker"))]
+        vec![Step::Wait(work), Step::Write(results(request, "producer"))]
     })
     .await;
     let engine = TargetStandin::start(single_event_stream).await;
--- a/crates/gateway/tests/suite/stages.rs
+++ b/crates/gateway/tests/suite/stages.rs
@@ -106,7 +106,7 @@
 
 #[actix_rt::test]
 async fn stage_pieces_share_a_call_and_feed_the_next() {
-    let staged = staged(worker("maker-1"), worker("maker-2")).await;
+    let staged = staged(worker("producer-1"), worker("producer-2")).await;
     let got = staged.fixture.call(&request()).await;
     assert!(got.is_whole, "{got:?}");
     let first = stage_runs(&staged.encoder);
@@ -138,7 +138,7 @@
 
 #[actix_rt::test]
 async fn unneeded_results_are_released() {
-    let staged = staged(worker("maker-1"), worker("maker-2")).await;
+    let staged = staged(worker("producer-1"), worker("producer-2")).await;
     assert!(staged.fixture.call(&request()).await.is_whole);
     eventually("the first stage's results are released", || {
         released(&staged.encoder).len() == 2
@@ -155,12 +155,12 @@
     let slow = |request: &ReceivedRequest| {
         vec![
             Step::Wait(Duration::from_millis(400)),
-            Step::Write(results(request, "maker-2")),
+            Step::Write(results(request, "producer-2")),
         ]
     };
-    let staged = staged(worker("maker-1"), slow).await;
-    let at = staged.fixture.gateway.addrs.callers;
-    let caller = request().begin(at).await;
+    let staged = staged(worker("producer-1"), slow).await;
+    let addr = staged.fixture.gateway.addrs.callers;
+    let caller = request().begin(addr).await;
     eventually("the second stage begins", || {
         !stage_runs(&staged.ranker).is_empty()
     })
@@ -180,12 +180,12 @@
 #[actix_rt::test]
 async fn lost_inputs_are_reproduced() {
     let has_failed = Rc::new(Cell::new(false));
-    let staged = staged(worker("maker-1"), move |request| {
+    let staged = staged(worker("producer-1"), move |request| {
         let is_first = request.path == "/-/stage-run" && !has_failed.replace(true);
         let answer = if is_first {
             failures(request, "gone")
         } else {
-            results(request, "maker-2")
+            results(request, "producer-2")
         };
         vec![Step::Write(answer)]
     })
@@ -218,11 +218,11 @@
                 1 => not_run(503),
                 2 => failures(request, "error"),
                 3 => failures(request, "room"),
-                _ => results(request, "maker-1"),
+                _ => results(request, "producer-1"),
             };
             vec![Step::Write(answer)]
         },
-        worker("maker-2"),
+        worker("producer-2"),
     )
     .await;
     let got = staged.fixture.call(&request()).await;
@@ -233,7 +233,7 @@
 async fn late_stage_refuses_the_request_at_once() {
     let staged = staged(
         |request| vec![Step::Write(failures(request, "late"))],
-        worker("maker-2"),
+        worker("producer-2"),
     )
     .await;
     let started = std::time::Instant::now();
@@ -247,10 +247,10 @@
 #[actix_rt::test]
 async fn stop_during_stages_is_503() {
     let silent = |_: &ReceivedRequest| vec![Step::Wait(Duration::from_secs(9))];
-    let staged = staged(silent, worker("maker-2")).await;
-    let at = staged.fixture.gateway.addrs.callers;
+    let staged = staged(silent, worker("producer-2")).await;
+    let addr = staged.fixture.gateway.addrs.callers;
     let call = request().with("X-Deadline-Ms", "30000");
-    let waiting = actix_rt::spawn(async move { call.send(at).await });
+    let waiting = actix_rt::spawn(async move { call.send(addr).await });
     tokio::time::sleep(Duration::from_millis(100)).await;
     staged.fixture.gateway.stop().await;
     let got = waiting.await.expect("it is answered");
@@ -263,10 +263,10 @@
 async fn overdue_call_moves_to_another_worker() {
     let staged = staged(
         |_| vec![Step::Wait(Duration::from_secs(5))],
-        worker("maker-2"),
+        worker("producer-2"),
     )
     .await;
-    let other = TargetStandin::start(worker("maker-3")).await;
+    let other = TargetStandin::start(worker("producer-3")).await;
     staged.fixture.add("i-other", "encoders", &other);
     tokio::time::sleep(Duration::from_millis(300)).await;
     for _ in 0..3 {
@@ -282,8 +282,8 @@
 #[actix_rt::test]
 async fn results_gone_at_the_engine_are_reproduced() {
     let fixture = Fixture::start(&deployment()).await;
-    let encoder = TargetStandin::start(worker("maker-1")).await;
-    let ranker = TargetStandin::start(worker("maker-2")).await;
+    let encoder = TargetStandin::start(worker("producer-1")).await;
+    let ranker = TargetStandin::start(worker("producer-2")).await;
     let engine = TargetStandin::start(|request| match request.earlier_requests {
         0 => vec![Step::Write(not_run(409))],
         _ => single_event_stream(request),
@@ -317,15 +317,15 @@
 #[actix_rt::test]
 async fn resumable_stream_releases_at_first_event() {
     let fixture = Fixture::start(&deployment_with(json!({ "stream_resume": true }))).await;
-    let encoder = TargetStandin::start(worker("maker-1")).await;
-    let ranker = TargetStandin::start(worker("maker-2")).await;
+    let encoder = TargetStandin::start(worker("producer-1")).await;
+    let ranker = TargetStandin::start(worker("producer-2")).await;
     let engine = TargetStandin::start(two_events).await;
     fixture.add("i-encoder", "encoders", &encoder);
     fixture.add("i-ranker", "rankers", &ranker);
     fixture.add("i-engine", "engines", &engine);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let at = fixture.gateway.addrs.callers;
-    let caller = actix_rt::spawn(async move { request().send(at).await });
+    let addr = fixture.gateway.addrs.callers;
+    let caller = actix_rt::spawn(async move { request().send(addr).await });
     eventually("the engine has the request", || {
         !engine.received().is_empty()
     })
@@ -338,8 +338,8 @@
 #[actix_rt::test]
 async fn resume_after_release_reruns_the_stages() {
     let fixture = Fixture::start(&deployment_with(json!({ "stream_resume": true }))).await;
-    let encoder = TargetStandin::start(worker("maker-1")).await;
-    let ranker = TargetStandin::start(worker("maker-2")).await;
+    let encoder = TargetStandin::start(worker("producer-1")).await;
+    let ranker = TargetStandin::start(worker("producer-2")).await;
     let bad = TargetStandin::start(|request| {
         vec![
             Step::Write(stream_head(request)),
@@ -353,8 +353,8 @@
     fixture.add("i-ranker", "rankers", &ranker);
     fixture.add("i-bad", "engines", &bad);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let at = fixture.gateway.addrs.callers;
-    let caller = actix_rt::spawn(async move { request().send(at).await });
+    let addr = fixture.gateway.addrs.callers;
+    let caller = actix_rt::spawn(async move { request().send(addr).await });
     eventually("the engine has the request", || !bad.received().is_empty()).await;
     let good = TargetStandin::start(|request| {
         vec![
@@ -380,19 +380,19 @@
     let slow = |request: &ReceivedRequest| {
         vec![
             Step::Wait(Duration::from_millis(300)),
-            Step::Write(results(request, "maker-1")),
+            Step::Write(results(request, "producer-1")),
         ]
     };
-    let staged = staged(slow, worker("maker-2")).await;
-    let at = staged.fixture.gateway.addrs.callers;
+    let staged = staged(slow, worker("producer-2")).await;
+    let addr = staged.fixture.gateway.addrs.callers;
     let calls = (0..30).map(|number| {
         let call = request().with("X-Request-Id", &format!("{number:016x}"));
-        actix_rt::spawn(async move { call.send(at).await })
+        actix_rt::spawn(async move { call.send(addr).await })
     });
     let calls: Vec<_> = calls.collect();
     tokio::time::sleep(Duration::from_millis(350)).await;
     let started = std::time::Instant::now();
-    let got = request().with("X-Request-Id", "ffff").send(at).await;
+    let got = request().with("X-Request-Id", "ffff").send(addr).await;
     assert_eq!(got.status, 503, "{got:?}");
     assert!(
         started.elapsed() < Duration::from_millis(250),
@@ -419,8 +419,8 @@
     let deployment = DeploymentJson::new(1)
         .engines("engines")
         .stage_service("encoders", 1, 100.0, 10.0)
-        .route("/dear/", "stream", "engines", route_fields(0))
-        .route("/cheap/", "stream", "engines", route_fields(2))
+        .route("/high/", "stream", "engines", route_fields(0))
+        .route("/low/", "stream", "engines", route_fields(2))
         .organisation_with_priority("first", "key-first", 0)
         .organisation_with_priority("one", "key-one", 1)
         .organisation_with_priority("two", "key-two", 1);
@@ -428,7 +428,7 @@
     let encoder = TargetStandin::start(|request| {
         vec![
             Step::Wait(Duration::from_millis(100)),
-            Step::Write(results(request, "maker")),
+            Step::Write(results(request, "producer")),
         ]
     })
     .await;
@@ -436,8 +436,8 @@
     fixture.add("i-encoder", "encoders", &encoder);
     fixture.add("i-engine", "engines", &engine);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let at = fixture.gateway.addrs.callers;
-    let busy = [("/cheap/", "key-two", "00")];
+    let addr = fixture.gateway.addrs.callers;
+    let busy = [("/low/", "key-two", "00")];
     let mut sent = Vec::new();
     for &(path, key, id) in busy.iter().chain(calls) {
         let call = Call::new("POST", path)
@@ -448,7 +448,7 @@
             .with("X-Request-Id", id)
             .with("Authorization", &format!("Bearer {key}"))
             .body("prompt");
-        sent.push(actix_rt::spawn(async move { call.send(at).await }));
+        sent.push(actix_rt::spawn(async move { call.send(addr).await }));
         eventually("the encoder is busy", || !stage_runs(&encoder).is_empty()).await;
     }
     for answer in sent {
@@ -467,9 +467,9 @@
 #[actix_rt::test]
 async fn route_priority_breaks_organisation_ties() {
     let order = encoder_order(&[
-        ("/cheap/", "key-one", "aa"),
-        ("/dear/", "key-two", "bb"),
-        ("/cheap/", "key-first", "cc"),
+        ("/low/", "key-one", "aa"),
+        ("/high/", "key-two", "bb"),
+        ("/low/", "key-first", "cc"),
     ])
     .await;
     assert_eq!(
--- a/crates/gateway/tests/suite/stopping.rs
+++ b/crates/gateway/tests/suite/stopping.rs
@@ -24,14 +24,14 @@
 #[actix_rt::test]
 async fn requests_late_in_a_stop_are_refused() {
     let (gateway, target) = serving(Duration::from_millis(1_900)).await;
-    let at = gateway.addrs.clone();
+    let addrs = gateway.addrs.clone();
     let stopping = actix_rt::spawn(gateway.stop());
     tokio::time::sleep(Duration::from_millis(100)).await;
-    let long = actix_rt::spawn(async move { Call::new("GET", "/safe/").send(at.callers).await });
+    let long = actix_rt::spawn(async move { Call::new("GET", "/safe/").send(addrs.callers).await });
     // Past half of the grace period of three seconds.
     tokio::time::sleep(Duration::from_millis(1_600)).await;
     let before = target.received().len();
-    let late = Call::new("GET", "/safe/").send(at.callers).await;
+    let late = Call::new("GET", "/safe/").send(addrs.callers).await;
     assert_eq!(
         late.status, 503,
         "it cannot finish before the process exits"
@@ -45,14 +45,15 @@
 #[actix_rt::test]
 async fn stop_is_unready_and_serves_early_requests() {
     let (gateway, _target) = serving(Duration::from_millis(900)).await;
-    let at = gateway.addrs.clone();
-    let early = actix_rt::spawn(async move { Call::new("GET", "/safe/").send(at.callers).await });
+    let addrs = gateway.addrs.clone();
+    let early =
+        actix_rt::spawn(async move { Call::new("GET", "/safe/").send(addrs.callers).await });
     tokio::time::sleep(Duration::from_millis(100)).await;
-    let at = gateway.addrs.clone();
+    let addrs = gateway.addrs.clone();
     let stopping = actix_rt::spawn(gateway.stop());
     tokio::time::sleep(Duration::from_millis(50)).await;
-    assert_eq!(ready_status(at.readiness).await, 503);
-    let late = Call::new("GET", "/safe/").send(at.callers).await;
+    assert_eq!(ready_status(addrs.readiness).await, 503);
+    let late = Call::new("GET", "/safe/").send(addrs.callers).await;
     assert_eq!(
         (late.status, late.is_whole),
         (200, true),
@@ -76,10 +77,10 @@
     .expect("the gateway starts");
     wait_for_entries("the record is written", &store, 1).await;
     let stopping = actix_rt::spawn(gateway.stop());
-    let begun = Instant::now();
+    let started = Instant::now();
     wait_for_entries("the record is gone", &store, 0).await;
     assert!(
-        begun.elapsed() < Duration::from_secs(3),
+        started.elapsed() < Duration::from_secs(3),
         "long before its lease expires"
     );
     stopping.await.expect("the stop ends");
--- a/crates/gateway/tests/suite/store_faults.rs
+++ b/crates/gateway/tests/suite/store_faults.rs
@@ -28,9 +28,9 @@
     until_status_at(fixture.gateway.addrs.callers, path, status).await;
 }
 
-async fn until_status_at(at: SocketAddr, path: &str, status: u16) {
+async fn until_status_at(addr: SocketAddr, path: &str, status: u16) {
     for _ in 0..400 {
-        if Call::new("GET", path).send(at).await.status == status {
+        if Call::new("GET", path).send(addr).await.status == status {
             return;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
@@ -333,8 +333,8 @@
 #[actix_rt::test]
 async fn request_waits_for_first_configuration() {
     let (store, running) = start_without_configuration().await;
-    let at = running.addrs.callers;
-    let early = actix_rt::spawn(async move { Call::new("GET", "/none/").send(at).await });
+    let addr = running.addrs.callers;
+    let early = actix_rt::spawn(async move { Call::new("GET", "/none/").send(addr).await });
     tokio::time::sleep(Duration::from_millis(50)).await;
     store.put("op/config", &plain_deployment(1, "/a/").bytes());
     let got = early.await.expect("request task completes");
--- a/crates/gateway/tests/suite/store_restore.rs
+++ b/crates/gateway/tests/suite/store_restore.rs
@@ -70,7 +70,7 @@
         (0..40).for_each(|number| self.store.put(&format!("other/{number}"), b"x"));
     }
 
-    fn at(&self) -> SocketAddr {
+    fn callers_addr(&self) -> SocketAddr {
         self.entry.addrs.callers
     }
 
@@ -78,7 +78,7 @@
     async fn requests_per_target(&self, requests: usize) -> [usize; 2] {
         let before = self.received();
         for _ in 0..requests {
-            call().send(self.at()).await;
+            call().send(self.callers_addr()).await;
         }
         let after = self.received();
         [after[0] - before[0], after[1] - before[1]]
@@ -124,7 +124,7 @@
         .put_target("i-3", "plain", third.addr, "hall-a", "ready");
     let started = Instant::now();
     while third.received().is_empty() && started.elapsed() < Duration::from_secs(4) {
-        call().send(fleet.at()).await;
+        call().send(fleet.callers_addr()).await;
     }
     assert!(
         started.elapsed() < Duration::from_secs(2),
@@ -136,7 +136,7 @@
 #[actix_rt::test]
 async fn watch_across_epochs_misses_no_change() {
     let fleet = Fleet::start().await;
-    fleet.store.put("servers/odd", b"unreadable");
+    fleet.store.put("servers/malformed", b"malformed");
     wait_for_propagation().await;
     fleet.store.restore(LOST_HISTORY);
     // As many changes as were lost, and one more, so that the watch's revision exists
@@ -227,20 +227,38 @@
     let newer = plain_deployment(2, "/b/").bytes();
     fleet.store.put("op/config", &newer);
     wait_for_propagation().await;
-    assert_eq!(Call::new("GET", "/b/x").send(fleet.at()).await.status, 200);
+    assert_eq!(
+        Call::new("GET", "/b/x")
+            .send(fleet.callers_addr())
+            .await
+            .status,
+        200
+    );
     fleet.store.restore(LOST_HISTORY);
     let until = Instant::now() + Duration::from_secs(1);
     while Instant::now() < until {
-        let reply = Call::new("GET", "/b/x").send(fleet.at()).await;
+        let reply = Call::new("GET", "/b/x").send(fleet.callers_addr()).await;
         assert_eq!(reply.status, 200, "the older configuration must not return");
     }
     fleet.store.put("op/config", &newer);
     wait_for_propagation().await;
-    assert_eq!(Call::new("GET", "/b/x").send(fleet.at()).await.status, 200);
+    assert_eq!(
+        Call::new("GET", "/b/x")
+            .send(fleet.callers_addr())
+            .await
+            .status,
+        200
+    );
     let newest = plain_deployment(3, "/c/").bytes();
     fleet.store.put("op/config", &newest);
     wait_for_propagation().await;
-    assert_eq!(Call::new("GET", "/c/x").send(fleet.at()).await.status, 200);
+    assert_eq!(
+        Call::new("GET", "/c/x")
+            .send(fleet.callers_addr())
+            .await
+            .status,
+        200
+    );
 }
 
 #[actix_rt::test]
@@ -392,7 +410,7 @@
             refused.status, 503,
             "the cut-off entry has the other's state"
         );
-        let refused = call().send(fleet.at()).await;
+        let refused = call().send(fleet.callers_addr()).await;
         assert_eq!(
             refused.status, 503,
             "no old state spread to the first entry"
@@ -458,10 +476,10 @@
     let entry = gateway(&store, "host-1", "hall-a").await;
     wait_for_entries("the entry is registered", &store, 1).await;
     wait_for_propagation().await;
-    let at = entry.addrs.callers;
+    let addr = entry.addrs.callers;
     let sent = actix_rt::spawn(async move {
         let once = Call::new("POST", "/once/x").with("X-Deadline-Ms", "4000");
-        once.body("pay").send(at).await
+        once.body("pay").send(addr).await
     });
     eventually("the request reached its target", || {
         first.received().len() == 1
--- a/crates/gateway/tests/suite/target_limits.rs
+++ b/crates/gateway/tests/suite/target_limits.rs
@@ -89,9 +89,9 @@
     fn max_in_window(&self, from: Instant) -> usize {
         let requests = self.target.received();
         let times: Vec<Instant> = requests.iter().map(|request| request.received_at).collect();
-        let times: Vec<Instant> = times.into_iter().filter(|at| *at >= from).collect();
+        let times: Vec<Instant> = times.into_iter().filter(|time| *time >= from).collect();
         let within = |last: &Instant| {
-            let in_window = |at: &&Instant| **at <= *last && **at + WINDOW > *last;
+            let in_window = |time: &&Instant| **time <= *last && **time + WINDOW > *last;
             times.iter().filter(in_window).count()
         };
         times.iter().map(within).max().unwrap_or(0)
@@ -178,8 +178,8 @@
     }
 
     /// Sends requests at a steady rate, spread over the entries.
-    async fn demand(&self, per_s: u32, lasts: Duration) -> Vec<CallOutcome> {
-        demand(self.callers(), self.kind.call, per_s, lasts).await
+    async fn demand(&self, per_s: u32, duration: Duration) -> Vec<CallOutcome> {
+        demand(self.callers(), self.kind.call, per_s, duration).await
     }
 }
 
@@ -196,19 +196,20 @@
 }
 
 async fn demand(
-    at: Vec<SocketAddr>,
+    addrs: Vec<SocketAddr>,
     call: fn(usize) -> Call,
     per_s: u32,
-    lasts: Duration,
+    duration: Duration,
 ) -> Vec<CallOutcome> {
-    let count = (lasts.as_secs_f64() * f64::from(per_s)) as usize;
-    let begun = tokio::time::Instant::now();
+    let count = (duration.as_secs_f64() * f64::from(per_s)) as usize;
+    let started = tokio::time::Instant::now();
     let calls = (0..count).map(|number| {
-        let at = at[number % at.len()];
+        let addr = addrs[number % addrs.len()];
         async move {
-            tokio::time::sleep_until(begun + Duration::from_secs(1) * number as u32 / per_s).await;
+            tokio::time::sleep_until(started + Duration::from_secs(1) * number as u32 / per_s)
+                .await;
             let sent = Instant::now();
-            let answer = call(number).send(at).await;
+            let answer = call(number).send(addr).await;
             let latency = sent.elapsed();
             CallOutcome { answer, latency }
         }
@@ -235,8 +236,11 @@
         "{max_count} requests in a window"
     );
     let used = busiest.count_since(from);
-    let least = (limit * 6.5 * 0.5) as usize;
-    assert!(used >= least, "got {used} of at least {least} requests");
+    let min_used = (limit * 6.5 * 0.5) as usize;
+    assert!(
+        used >= min_used,
+        "got {used} of at least {min_used} requests"
+    );
 }
 
 #[actix_rt::test]
@@ -544,12 +548,12 @@
     let mut hanging = Vec::new();
     for number in 0..3 {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback");
-        let at = listener.local_addr().expect("the listener has an address");
+        let addr = listener.local_addr().expect("the listener has an address");
         // Far larger than all others, so that these hosts own everything.
         let record = (
             number + 1,
             format!("hangs-{number}"),
-            at,
+            addr,
             "hall-a".into(),
             9_000,
         );
--- a/crates/gateway/tests/suite/target_restarts.rs
+++ b/crates/gateway/tests/suite/target_restarts.rs
@@ -45,7 +45,7 @@
         .store
         .put_incarnation("i-1", 2_000, "plain", target.addr);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let stale = TargetStandin::answering("nobody", Duration::ZERO).await;
+    let stale = TargetStandin::answering("stale", Duration::ZERO).await;
     fixture
         .store
         .put_incarnation("i-1", 1_000, "plain", stale.addr);
--- a/crates/gateway/tests/suite/warm_up.rs
+++ b/crates/gateway/tests/suite/warm_up.rs
@@ -25,7 +25,7 @@
 async fn warm_up_target_gets_limited_share() {
     let store = StoreStandin::start().await;
     store.put("op/config", &deployment().bytes());
-    let (warm, warming_up) = (target("warm").await, target("cold").await);
+    let (warm, warming_up) = (target("warm").await, target("warming_up").await);
     store.put_target("i-1", "plain", warm.addr, "hall-a", "ready");
     let gateway = gateway(&store, "host-1", "hall-a").await;
     wait_for_entries("the entry is recorded", &store, 1).await;
@@ -37,8 +37,8 @@
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    let (before, begun) = (warming_up.received().len(), Instant::now());
-    while begun.elapsed() < Duration::from_secs(1) {
+    let (before, started) = (warming_up.received().len(), Instant::now());
+    while started.elapsed() < Duration::from_secs(1) {
         let got = Call::new("GET", "/a/").send(gateway.addrs.callers).await;
         assert_eq!(got.status, 200);
     }
@@ -62,7 +62,7 @@
 async fn all_warming_up_refuses_excess_at_once() {
     let store = StoreStandin::start().await;
     store.put("op/config", &deployment().bytes());
-    let warming_up = target("cold").await;
+    let warming_up = target("warming_up").await;
     store.put_warming_up_target("i-1", "plain", warming_up.addr, Duration::from_secs(9));
     let gateway = gateway(&store, "host-1", "hall-a").await;
     wait_for_entries("the entry is recorded", &store, 1).await;
@@ -92,7 +92,7 @@
         entries.push(gateway(&store, &format!("host-{number}"), "hall-a").await);
     }
     wait_for_entries("all are recorded", &store, 16).await;
-    let warming_up = target("cold").await;
+    let warming_up = target("warming_up").await;
     store.put_warming_up_target("i-1", "plain", warming_up.addr, Duration::from_secs(60));
     tokio::time::sleep(Duration::from_millis(500)).await;
     let call_all = || {
--- a/crates/gateway/tests/suspended/main.rs
+++ b/crates/gateway/tests/suspended/main.rs
@@ -83,7 +83,7 @@
     let fixture = Fixture::start(&deployment).await;
     let worker = TargetStandin::start(|request| {
         let work = Step::Wait(Duration::from_millis(300));
-        vec![work, Step::Write(results(request, "maker"))]
+        vec![work, Step::Write(results(request, "producer"))]
     })
     .await;
     let engine = TargetStandin::start(single_event_stream).await;
@@ -105,7 +105,7 @@
     let _waiting = waiting.begin(addr).await;
     tokio::time::sleep(Duration::from_millis(60)).await;
     suspend(SUSPENSION);
-    let begun = Instant::now();
+    let started = Instant::now();
     tokio::time::sleep(Duration::from_millis(600)).await;
     let pieces = stage_runs(&worker);
     let pieces = pieces.iter().flat_map(ReceivedRequest::pieces);
@@ -113,5 +113,5 @@
     assert!(ran[0].contains("f1"), "{ran:?}");
     assert!(!ran.iter().any(|id| id.contains("f2")), "{ran:?}");
     let after = staged("00000000000000f3").send(addr).await;
-    assert!(after.is_whole, "{after:?} after {:?}", begun.elapsed());
+    assert!(after.is_whole, "{after:?} after {:?}", started.elapsed());
 }
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -109,7 +109,7 @@
 
 /// Answers of one target of the new version.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
-struct OfTarget {
+struct TargetCounts {
     answers: u32,
     bad: u32,
 }
@@ -126,7 +126,7 @@
 pub struct Evidence {
     kinds: BTreeMap<String, Pair>,
     /// Targets of the new version by id.
-    targets: BTreeMap<String, OfTarget>,
+    targets: BTreeMap<String, TargetCounts>,
 }
 
 /// Why a version is rolled back.
@@ -177,7 +177,7 @@
             known.answers += answers;
             known.bad += bad;
         } else if self.targets.len() < MAX_TARGETS {
-            let first = OfTarget { answers, bad };
+            let first = TargetCounts { answers, bad };
             self.targets.insert(target.to_string(), first);
         }
     }
--- a/crates/rollout/tests/suite/simulated.rs
+++ b/crates/rollout/tests/suite/simulated.rs
@@ -182,7 +182,7 @@
             );
             let delay = run
                 .fiftieth_bad
-                .map(|at| run.last_to_new.saturating_sub(at));
+                .map(|time| run.last_to_new.saturating_sub(time));
             assert!(delay.is_none_or(|ms| ms <= 1_500), "{case}: {delay:?}");
         }
     }
--- a/crates/targets/src/table.rs
+++ b/crates/targets/src/table.rs
@@ -110,7 +110,7 @@
     /// the incarnations whose records say draining. Incarnations that remain keep their
     /// connections and health; of the others only their reports are kept. Returns the
     /// services whose targets changed.
-    pub fn take(
+    pub fn update(
         &mut self,
         now: Millis,
         deployment: &Deployment,
@@ -283,7 +283,7 @@
     }
 
     /// Usable targets of a service.
-    pub fn of(&self, service: ServiceKey) -> &[Rc<Target>] {
+    pub fn targets_of(&self, service: ServiceKey) -> &[Rc<Target>] {
         self.by_service
             .get(usize::from(service.0))
             .map_or(&[], Vec::as_slice)
@@ -292,7 +292,7 @@
     /// Ejects the targets of a service in the worst health, at most half of them.
     /// Returns those newly ejected.
     pub fn eject_worst(&self, service: ServiceKey, now: Millis) -> Vec<Rc<Target>> {
-        let targets = self.of(service);
+        let targets = self.targets_of(service);
         let mut healths: Vec<TargetHealth> = targets
             .iter()
             .map(|target| target.health.borrow().clone())
--- a/crates/targets/src/target.rs
+++ b/crates/targets/src/target.rs
@@ -122,7 +122,7 @@
     }
 
     /// Counts a request and its prompt tokens to prefill until the guard is dropped.
-    pub fn enter(self: &Rc<Self>, pending_prefill_tokens: u64) -> InFlight {
+    pub fn track_request(self: &Rc<Self>, pending_prefill_tokens: u64) -> InFlight {
         self.in_flight.set(self.in_flight.get() + 1);
         self.pending_prefill_tokens
             .set(self.pending_prefill_tokens.get() + pending_prefill_tokens);
@@ -141,12 +141,12 @@
 impl InFlight {
     /// Releases the prompt tokens once the prefill is done.
     pub fn prefill_done(&mut self) {
-        let unread = std::mem::take(&mut self.pending_prefill_tokens);
+        let pending = std::mem::take(&mut self.pending_prefill_tokens);
         let left = self
             .target
             .pending_prefill_tokens
             .get()
-            .saturating_sub(unread);
+            .saturating_sub(pending);
         self.target.pending_prefill_tokens.set(left);
     }
 }
--- a/crates/targets/tests/suite/main.rs
+++ b/crates/targets/tests/suite/main.rs
@@ -51,7 +51,7 @@
     let service = deployment
         .service_named("plain")
         .expect("the service exists");
-    let targets = table.of(service);
+    let targets = table.targets_of(service);
     assert_eq!(targets.len(), 1);
     targets[0].clone()
 }
@@ -60,18 +60,18 @@
 fn restarted_target_has_fresh_state() {
     let deployment = deployment();
     let mut table = TargetTable::default();
-    table.take(0, &deployment, &[usable("i-1", 1_000, "plain")], &[]);
+    table.update(0, &deployment, &[usable("i-1", 1_000, "plain")], &[]);
     let first = only(&table, &deployment);
-    let _in_flight = first.enter(500);
+    let _in_flight = first.track_request(500);
     for _ in 0..3 {
         first.observe(Observation::Failed, 1);
     }
-    table.take(0, &deployment, &[usable("i-1", 1_000, "plain")], &[]);
+    table.update(0, &deployment, &[usable("i-1", 1_000, "plain")], &[]);
     assert!(
         Rc::ptr_eq(&first, &only(&table, &deployment)),
         "same incarnation"
     );
-    table.take(0, &deployment, &[usable("i-1", 2_000, "plain")], &[]);
+    table.update(0, &deployment, &[usable("i-1", 2_000, "plain")], &[]);
     let restarted = only(&table, &deployment);
     assert_eq!(
         (
@@ -99,7 +99,7 @@
     let deployment = deployment();
     let mut table = TargetTable::default();
     let targets = [usable("i-1", 1, "plain"), usable("i-2", 1, "unknown")];
-    table.take(0, &deployment, &targets, &[]);
+    table.update(0, &deployment, &targets, &[]);
     only(&table, &deployment);
     assert!(table.get(&targets[1].record.incarnation).is_none());
 }
@@ -112,7 +112,7 @@
     let mut seen = Vec::new();
     for started in 1..=13 {
         let incarnations: Vec<_> = ids.iter().map(|id| usable(id, started, "plain")).collect();
-        table.take(0, &deployment, &incarnations, &[]);
+        table.update(0, &deployment, &incarnations, &[]);
         let first = table
             .get(&incarnations[0].record.incarnation)
             .expect("it is usable");
@@ -136,7 +136,7 @@
     sent.expect("the request is written");
     let mut answer = Vec::new();
     // The answer breaks off.
-    let _ended = caller.read_to_end(&mut answer).await;
+    let _broken = caller.read_to_end(&mut answer).await;
     assert!(CrashCheck::default().has_crashed(target.addr).await);
 }
 
@@ -145,13 +145,13 @@
 async fn listener_that_closes_last_means_crashed() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("it binds");
     let addr = listener.local_addr().expect("it is bound");
-    let ending = actix_rt::spawn(async move {
-        let taken = listener.accept().await;
+    let accepting = actix_rt::spawn(async move {
+        let accepted = listener.accept().await;
         drop(listener);
-        drop(taken);
+        drop(accepted);
     });
     assert!(CrashCheck::default().has_crashed(addr).await);
-    ending.await.expect("it accepted a connection");
+    accepting.await.expect("it accepted a connection");
 }
 
 /// Guards against taking an overloaded target, which closes connections, for a crashed one.
@@ -169,6 +169,6 @@
     let check = CrashCheck::default();
     let all = (0..20).map(|_| check.has_crashed(target.addr));
     let all = futures_util::future::join_all(all).await;
-    assert!(all.iter().all(|ended| !ended));
+    assert!(all.iter().all(|crashed| !crashed));
     assert_eq!(target.connections(), 1);
 }
--- a/crates/targets/tests/suite/table.rs
+++ b/crates/targets/tests/suite/table.rs
@@ -37,7 +37,7 @@
 fn ids(table: &TargetTable, deployment: &Deployment) -> Vec<Vec<(String, u64)>> {
     let services = SERVICES.iter().map(|name| {
         let key = deployment.service_named(name);
-        let targets = key.map_or(&[][..], |key| table.of(key));
+        let targets = key.map_or(&[][..], |key| table.targets_of(key));
         let incarnations = targets.iter().map(|target| target.incarnation().clone());
         incarnations
             .map(|incarnation| (incarnation.id, incarnation.started))
@@ -62,22 +62,22 @@
         for (listed, services) in steps {
             let deployment = deployment(services);
             let usable = records(&listed, &before);
-            table.take(0, &deployment, &usable, &[]);
+            table.update(0, &deployment, &usable, &[]);
             let mut fresh = TargetTable::default();
-            fresh.take(0, &deployment, &usable, &[]);
+            fresh.update(0, &deployment, &usable, &[]);
             prop_assert_eq!(ids(&table, &deployment), ids(&fresh, &deployment));
             before = usable;
         }
     }
 
     #[test]
-    fn take_returns_the_changed_services(first in listed(), second in listed()) {
+    fn update_returns_the_changed_services(first in listed(), second in listed()) {
         let deployment = deployment(3);
         let mut table = TargetTable::default();
         let usable = records(&first, &[]);
-        table.take(0, &deployment, &usable, &[]);
+        table.update(0, &deployment, &usable, &[]);
         let before = ids(&table, &deployment);
-        let changed = table.take(0, &deployment, &records(&second, &usable), &[]);
+        let changed = table.update(0, &deployment, &records(&second, &usable), &[]);
         let after = ids(&table, &deployment);
         for (index, name) in SERVICES.iter().enumerate() {
             let key = deployment.service_named(name).expect("the service exists");
@@ -93,13 +93,13 @@
     let mut listed: Vec<UsableTarget> = (0..200)
         .map(|index| usable(&format!("i-{index:03}"), 1, SERVICES[index % 3]))
         .collect();
-    table.take(0, &deployment, &listed, &[]);
+    table.update(0, &deployment, &listed, &[]);
     let counts_before: Vec<usize> = listed
         .iter()
         .map(|t| Arc::strong_count(&t.record))
         .collect();
     listed.remove(50);
-    let changed = table.take(0, &deployment, &listed, &[]);
+    let changed = table.update(0, &deployment, &listed, &[]);
     assert_eq!(changed.len(), 1, "only the service of the removed target");
     let counts_after: Vec<usize> = listed
         .iter()
