--- a/crates/bench/src/day/engines.rs
+++ b/crates/bench/src/day/engines.rs
@@ -162,7 +162,7 @@
                         .collect(),
                     is_suspect: false,
                     urgency: 0,
-                    waits_ms: 0,
+                    max_wait_ms: 0,
                 };
                 let (key, engine) = self.scheduler.place(now, &demand, affinity)?;
                 Some((engine, Some(key)))
@@ -207,11 +207,11 @@
         let state = &mut self.engines[run.engine];
         state.running = state.running.saturating_sub(1);
         let end = match completed {
-            true => PlacementEnd::Whole,
+            true => PlacementEnd::Completed,
             false => PlacementEnd::Abandoned,
         };
         if let Some(key) = run.placement {
-            self.scheduler.ended(key, end, now);
+            self.scheduler.record_end(key, end, now);
         }
     }
 }
--- a/crates/bench/src/day/world/stages.rs
+++ b/crates/bench/src/day/world/stages.rs
@@ -61,7 +61,7 @@
             expires: request.requested_at + kind.deadline_ms,
             result_bytes: stage.result_bytes,
             group: GroupKey((request.attempt.drawn * GROUPS_PER_REQUEST + index.stage) as u64),
-            holds_inputs: self.policy.holders_first && input_bytes >= LARGE_INPUT_BYTES,
+            has_large_inputs: self.policy.holders_first && input_bytes >= LARGE_INPUT_BYTES,
             hall: None,
             halls: Halls::ALL,
         }
--- a/crates/bench/tests/suite/groups.rs
+++ b/crates/bench/tests/suite/groups.rs
@@ -76,7 +76,7 @@
             };
             let scheduler: &mut EngineScheduler<String> = schedulers.entry(group).or_default();
             scheduler.prefill_done(key, now);
-            scheduler.ended(key, PlacementEnd::Whole, now);
+            scheduler.record_end(key, PlacementEnd::Completed, now);
         }
         if prompt % PROMPTS_PER_REPLACEMENT == 0 {
             let removed = engines.remove(rng.random_range(0..engines.len()));
@@ -108,7 +108,7 @@
             results: Vec::new(),
             is_suspect: false,
             urgency: 0,
-            waits_ms: 0,
+            max_wait_ms: 0,
         };
         let placed = scheduler.place(now, &demand, |engine| rendezvous::score(&name, engine));
         let (key, engine) = placed.expect("the group has engines");
--- a/crates/clients/src/target.rs
+++ b/crates/clients/src/target.rs
@@ -98,16 +98,16 @@
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{reason}"))]
 pub struct CallError {
-    pub sent: SendProgress,
+    pub progress: SendProgress,
     /// The target reported that it is draining.
     pub draining: bool,
     pub reason: String,
 }
 
 impl CallError {
-    fn new(sent: SendProgress, reason: impl ToString) -> Self {
+    fn new(progress: SendProgress, reason: impl ToString) -> Self {
         CallError {
-            sent,
+            progress,
             draining: false,
             reason: reason.to_string(),
         }
@@ -204,13 +204,13 @@
         return Ok((reply, reports));
     }
     let status = reply.status().as_u16();
-    let sent = if (400..600).contains(&status) {
+    let progress = if (400..600).contains(&status) {
         SendProgress::Refusal(status)
     } else {
         SendProgress::MaybeSent
     };
     Err(CallError {
-        sent,
+        progress,
         draining: reports.draining,
         reason: format!("the target answered with status {status}"),
     })
--- a/crates/connect/src/call.rs
+++ b/crates/connect/src/call.rs
@@ -11,7 +11,7 @@
 
 /// An answer with its buffered body.
 #[derive(Debug)]
-pub struct WholeAnswer {
+pub struct CompleteAnswer {
     pub head: response::Parts,
     /// `None` when it is longer than the caller's limit; an error when it broke off.
     pub body: Result<Option<Bytes>, BodyError>,
@@ -24,10 +24,10 @@
         self: &Rc<Self>,
         req: Request<Full<Bytes>>,
         max_len: usize,
-    ) -> Result<WholeAnswer, SendError> {
+    ) -> Result<CompleteAnswer, SendError> {
         let exchange = self.send(req, Reuse::Any).await?;
         let (head, body) = exchange.into_body(true);
         let body = body.collect(max_len).await;
-        Ok(WholeAnswer { head, body })
+        Ok(CompleteAnswer { head, body })
     }
 }
--- a/crates/connect/src/lib.rs
+++ b/crates/connect/src/lib.rs
@@ -16,7 +16,7 @@
 mod pool;
 
 pub use body::AnswerBody;
-pub use call::WholeAnswer;
+pub use call::CompleteAnswer;
 pub use crash_check::{CrashCheck, CHECK_TIMEOUT};
 pub use dial::{dial, DialError};
 pub use pool::{Exchange, Pool, PoolRules, Reuse, SendError};
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -81,7 +81,7 @@
             Err(err) => err,
         };
         log_failure(task, &call.dispatch, &route, progress, &err);
-        if err.sent == SendProgress::MaybeSent
+        if err.progress == SendProgress::MaybeSent
             && !done.timed_out
             && has_crashed(task, &route, sent_at).await
         {
@@ -161,7 +161,7 @@
     let Err(err) = result else {
         return Progress::Answered;
     };
-    match err.sent {
+    match err.progress {
         SendProgress::NotSent => Progress::NothingSent,
         SendProgress::MaybeSent => Progress::Broken,
         SendProgress::Refusal(status) if refusal_is_final(task, status) => Progress::FinalRefusal,
--- a/crates/entry/src/control/host_list.rs
+++ b/crates/entry/src/control/host_list.rs
@@ -110,7 +110,7 @@
     /// Records that a host is draining, as `source` reported: an operator or the
     /// target itself.
     pub(crate) fn mark_draining(&mut self, name: &str, source: &str) {
-        if self.fleet.hosts.learn_by_name(name) {
+        if self.fleet.hosts.mark_leaving(name) {
             self.entry.log(
                 events::HOST_LEAVING,
                 format_args!("host={name} source={source}"),
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -100,7 +100,7 @@
 
 fn timeout_error(limit: Duration) -> CallError {
     CallError {
-        sent: SendProgress::MaybeSent,
+        progress: SendProgress::MaybeSent,
         draining: false,
         reason: format!("no complete answer within {} ms", limit.as_millis()),
     }
--- a/crates/entry/src/in_flight_by_org.rs
+++ b/crates/entry/src/in_flight_by_org.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
 
-use hollowsail_routing::Holding;
+use hollowsail_routing::OrgUsage;
 
 /// Counts of requests in flight by organisation.
 #[derive(Debug, Default)]
@@ -38,14 +38,14 @@
 
 impl InFlightByOrg {
     /// Requests in flight of an organisation, compared with all others.
-    pub fn usage_of(&self, org: &str, weight: u32) -> Holding {
+    pub fn usage_of(&self, org: &str, weight: u32) -> OrgUsage {
         let all = self.0.lock().expect("no panic while held");
         let others: u32 = all
             .iter()
             .filter(|(name, _)| *name != org)
             .map(|(_, org_count)| org_count.weight)
             .sum();
-        Holding {
+        OrgUsage {
             own: all.get(org).map_or(0, |org_count| org_count.count),
             all: all.values().map(|org_count| org_count.count).sum(),
             share: f64::from(weight) / f64::from(weight + others),
--- a/crates/fleet/src/evacuated_halls.rs
+++ b/crates/fleet/src/evacuated_halls.rs
@@ -67,7 +67,7 @@
     }
 
     /// Applies the evacuation of a hall. True when the set of halls changed.
-    pub fn evacuated(&mut self, hall: &str, at: Position) -> bool {
+    pub fn apply_evacuation(&mut self, hall: &str, at: Position) -> bool {
         if at <= self.as_of {
             return false;
         }
@@ -76,7 +76,7 @@
     }
 
     /// Applies the end of a hall's evacuation. True when the set of halls changed.
-    pub fn reinstated(&mut self, hall: &str, at: Position) -> bool {
+    pub fn apply_reinstatement(&mut self, hall: &str, at: Position) -> bool {
         let since = self.halls.get(hall).copied();
         let Some(since) = since.filter(|since| at > self.as_of && at > *since) else {
             return false;
--- a/crates/fleet/src/host_view.rs
+++ b/crates/fleet/src/host_view.rs
@@ -107,7 +107,7 @@
 
     /// Records that the last listed incarnation of a host is leaving, for sources that give
     /// no incarnation. True when it wasn't known before.
-    pub fn learn_by_name(&mut self, name: &str) -> bool {
+    pub fn mark_leaving(&mut self, name: &str) -> bool {
         let incarnation = self.incarnation(name);
         self.learn(LeavingHost {
             name: name.into(),
--- a/crates/fleet/src/target_registry/mod.rs
+++ b/crates/fleet/src/target_registry/mod.rs
@@ -189,7 +189,7 @@
     /// Applies the removal of a record. `is_unsettled` is the result of
     /// [`TargetRegistry::is_unsettled`] at the source of the change. True when the target was
     /// removed.
-    pub fn deleted(&mut self, id: &str, at: Position, is_unsettled: bool) -> bool {
+    pub fn apply_deletion(&mut self, id: &str, at: Position, is_unsettled: bool) -> bool {
         let Some(entry) = self.entries.get_mut(id) else {
             return false;
         };
@@ -217,7 +217,7 @@
         let present: HashSet<&str> = present.iter().copied().collect();
         self.ids_where(|id, _| !present.contains(id))
             .into_iter()
-            .filter(|id| !self.mark_lost(id, at) && self.deleted(id, at, is_unsettled))
+            .filter(|id| !self.mark_lost(id, at) && self.apply_deletion(id, at, is_unsettled))
             .collect()
     }
 
--- a/crates/fleet/src/throttle.rs
+++ b/crates/fleet/src/throttle.rs
@@ -60,7 +60,7 @@
     }
 
     /// Starts the next pause after a scheduled message was sent.
-    pub fn sent(&self, now: Millis, subject: &K) {
+    pub fn record_sent(&self, now: Millis, subject: &K) {
         let pause = self.pause(now);
         self.pauses.borrow_mut().insert(subject.clone(), pause);
     }
--- a/crates/fleet/tests/suite/evacuated_halls.rs
+++ b/crates/fleet/tests/suite/evacuated_halls.rs
@@ -57,8 +57,8 @@
     for known in from..to {
         let (hall, evacuates) = history[known as usize];
         let _changed = match evacuates {
-            true => halls.evacuated(HALLS[hall], at(known + 1)),
-            false => halls.reinstated(HALLS[hall], at(known + 1)),
+            true => halls.apply_evacuation(HALLS[hall], at(known + 1)),
+            false => halls.apply_reinstatement(HALLS[hall], at(known + 1)),
         };
     }
     halls.advance_to(at(to));
@@ -114,8 +114,8 @@
     let mut halls = EvacuatedHalls::default();
     assert!(halls.apply_list(at(5), vec![("a".to_string(), at(4))]));
     assert!(!halls.apply_list(at(3), Vec::new()), "an older list");
-    assert!(!halls.reinstated("a", at(5)), "already applied");
+    assert!(!halls.apply_reinstatement("a", at(5)), "already applied");
     assert!(halls.contains("a"));
-    assert!(halls.reinstated("a", at(6)));
+    assert!(halls.apply_reinstatement("a", at(6)));
     assert!(!halls.contains("a"));
 }
--- a/crates/fleet/tests/suite/host_view.rs
+++ b/crates/fleet/tests/suite/host_view.rs
@@ -59,7 +59,7 @@
                 Event::ByName(index) => {
                     let host = HOSTS[index];
                     let known = !view.takes_work(host);
-                    view.learn_by_name(host);
+                    view.mark_leaving(host);
                     prop_assert!(!view.takes_work(host));
                     if !known {
                         leaving.insert((index, listed[index]));
--- a/crates/fleet/tests/suite/large_registry.rs
+++ b/crates/fleet/tests/suite/large_registry.rs
@@ -76,7 +76,7 @@
     seen.push(registry.change_count());
     registry.put("b", meta(3, false), 1);
     seen.push(registry.change_count());
-    registry.deleted("b", Position::new(0, 4), true);
+    registry.apply_deletion("b", Position::new(0, 4), true);
     seen.push(registry.change_count());
     registry.settle(10);
     seen.push(registry.change_count());
--- a/crates/fleet/tests/suite/restored_store.rs
+++ b/crates/fleet/tests/suite/restored_store.rs
@@ -132,9 +132,9 @@
             let is_target = IDS.contains(&key.as_str());
             match value {
                 Some(Some(state)) => self.put(key, *state, change),
-                Some(None) => drop(self.halls.evacuated(key, change)),
-                None if is_target => drop(self.registry.deleted(key, change, is_unsettled)),
-                None => drop(self.halls.reinstated(key, change)),
+                Some(None) => drop(self.halls.apply_evacuation(key, change)),
+                None if is_target => drop(self.registry.apply_deletion(key, change, is_unsettled)),
+                None => drop(self.halls.apply_reinstatement(key, change)),
             }
         }
         self.halls.advance_to(store.at());
--- a/crates/fleet/tests/suite/target_registry.rs
+++ b/crates/fleet/tests/suite/target_registry.rs
@@ -45,7 +45,7 @@
 /// Applies the removal of a record as read from the store itself.
 fn deleted(registry: &mut TargetRegistry<&'static str>, id: &str, revision: u64, now: u64) -> bool {
     let is_unsettled = registry.is_unsettled(now);
-    registry.deleted(id, at(revision), is_unsettled)
+    registry.apply_deletion(id, at(revision), is_unsettled)
 }
 
 #[test]
@@ -60,7 +60,7 @@
 fn conclusive_removal_counts_during_outage() {
     let mut registry = registry();
     registry.store_unreachable();
-    assert!(registry.deleted("a", at(3), false));
+    assert!(registry.apply_deletion("a", at(3), false));
     assert_eq!(usable(&registry), ["b"]);
 }
 
--- a/crates/fleet/tests/suite/throttle.rs
+++ b/crates/fleet/tests/suite/throttle.rs
@@ -13,13 +13,13 @@
         SendTime::Now,
         "another subject"
     );
-    throttle.sent(350, &"a");
+    throttle.record_sent(350, &"a");
     assert_eq!(
         throttle.changed(360, &"a"),
         SendTime::At(600),
         "another pause"
     );
-    throttle.sent(600, &"a");
+    throttle.record_sent(600, &"a");
     assert_eq!(
         throttle.changed(850, &"a"),
         SendTime::Now,
@@ -35,7 +35,7 @@
     let (mut sent, mut scheduled) = (Vec::new(), None);
     for now in 0..2_000 {
         if scheduled == Some(now) {
-            throttle.sent(now, &());
+            throttle.record_sent(now, &());
             sent.push(now);
             scheduled = None;
         }
--- a/crates/gateway/src/control/evacuated_halls.rs
+++ b/crates/gateway/src/control/evacuated_halls.rs
@@ -63,10 +63,10 @@
 fn apply_change(halls: &mut EvacuatedHalls, change: &Change) -> bool {
     match change {
         Change::Put(item) => {
-            evacuated_hall(&item.key).is_some_and(|hall| halls.evacuated(hall, item.at))
+            evacuated_hall(&item.key).is_some_and(|hall| halls.apply_evacuation(hall, item.at))
         }
         Change::Deleted { key, at } => {
-            evacuated_hall(key).is_some_and(|hall| halls.reinstated(hall, *at))
+            evacuated_hall(key).is_some_and(|hall| halls.apply_reinstatement(hall, *at))
         }
     }
 }
--- a/crates/gateway/src/control/membership.rs
+++ b/crates/gateway/src/control/membership.rs
@@ -129,7 +129,10 @@
             Change::Put(item) => self.apply_peer(item),
             Change::Deleted { key, at } => {
                 let is_unsettled = self.is_unsettled(&self.peers, origin);
-                let gone = self.peers.borrow_mut().deleted(key, *at, is_unsettled);
+                let gone = self
+                    .peers
+                    .borrow_mut()
+                    .apply_deletion(key, *at, is_unsettled);
                 if gone {
                     self.log_peers_gone(std::slice::from_ref(key), "record_deleted");
                 }
--- a/crates/gateway/src/control/query.rs
+++ b/crates/gateway/src/control/query.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hollowsail_connect::{Pool, WholeAnswer};
+use hollowsail_connect::{CompleteAnswer, Pool};
 use http::StatusCode;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -50,7 +50,7 @@
         .and_then(decode)
 }
 
-fn decode<A: DeserializeOwned>(response: WholeAnswer) -> Result<A, QueryError> {
+fn decode<A: DeserializeOwned>(response: CompleteAnswer) -> Result<A, QueryError> {
     let whole = response
         .body
         .map_err(|source| QueryError::Truncated { source })?;
--- a/crates/gateway/src/control/records.rs
+++ b/crates/gateway/src/control/records.rs
@@ -104,7 +104,7 @@
                 };
                 let is_unsettled = self.is_unsettled(&self.registry, origin);
                 let mut registry = self.registry.borrow_mut();
-                let gone = registry.deleted(incarnation, *at, is_unsettled);
+                let gone = registry.apply_deletion(incarnation, *at, is_unsettled);
                 drop(registry);
                 if gone {
                     self.log_gone(&[incarnation.to_string()], "record_deleted");
--- a/crates/gateway/src/peers/messages.rs
+++ b/crates/gateway/src/peers/messages.rs
@@ -236,7 +236,8 @@
     /// Estimated size of its result.
     pub result_bytes: u64,
     /// True if its inputs are large results.
-    pub holds_inputs: bool,
+    #[serde(rename = "holds_inputs")]
+    pub has_large_inputs: bool,
     /// Data hall that uses the result.
     pub hall: Option<String>,
     /// Data halls in which it may be produced; `None` for all.
--- a/crates/gateway/src/placement/mod.rs
+++ b/crates/gateway/src/placement/mod.rs
@@ -5,7 +5,7 @@
 //! choose a target themselves if no answer arrives in time. A [`Placement`] reports the request's
 //! progress to the scheduler. Plain services use this too while a target reports a limit.
 
-mod placed;
+mod handle;
 mod scheduler;
 
 use std::cell::{Cell, RefCell};
@@ -22,8 +22,8 @@
 use crate::target_group::TargetGroup;
 use crate::traffic::Traffic;
 
-pub use placed::Placement;
-use placed::SchedulerHandle;
+pub use handle::Placement;
+use handle::SchedulerHandle;
 use scheduler::{Decision, GroupScheduler, Reply};
 
 /// Maximum engines in a group. Each group caches a prefix separately, so larger groups need
@@ -98,7 +98,7 @@
         demand: Demand<Incarnation>,
     ) -> PlacementOutcome {
         let id = self.next_id();
-        let max_wait = Duration::from_millis(demand.waits_ms);
+        let max_wait = Duration::from_millis(demand.max_wait_ms);
         // Dropped if the answer is too late, which reports the placement as abandoned.
         let placed = Placement::new(SchedulerHandle::Peer(link.clone(), id));
         let mut replies = link.request_placement(id, name, demand);
--- a/crates/gateway/src/placement/scheduler.rs
+++ b/crates/gateway/src/placement/scheduler.rs
@@ -128,8 +128,8 @@
         }
         let estimate = self.engines.borrow().queue_estimate(now, demand, ahead);
         match estimate {
-            Some(estimate) if estimate.wait_ms <= demand.waits_ms => {
-                Decision::MayQueue(now + demand.waits_ms)
+            Some(estimate) if estimate.wait_ms <= demand.max_wait_ms => {
+                Decision::MayQueue(now + demand.max_wait_ms)
             }
             estimate => self.refusal(now, estimate),
         }
@@ -254,13 +254,13 @@
     /// Records the progress or the end of a placement.
     pub fn record_step(&self, cx: &Traffic, key: PlacementKey, step: PlacementStep) {
         let now = cx.clock.now();
-        let ended = |end| self.engines.borrow_mut().ended(key, end, now);
+        let ended = |end| self.engines.borrow_mut().record_end(key, end, now);
         let ejected = match step {
             PlacementStep::PrefillDone => {
                 self.engines.borrow_mut().prefill_done(key, now);
                 return;
             }
-            PlacementStep::Completed => ended(PlacementEnd::Whole),
+            PlacementStep::Completed => ended(PlacementEnd::Completed),
             PlacementStep::Failed => ended(PlacementEnd::Failed),
             PlacementStep::Abandoned => ended(PlacementEnd::Abandoned),
         };
--- a/crates/gateway/src/pools/batcher/hand_over.rs
+++ b/crates/gateway/src/pools/batcher/hand_over.rs
@@ -66,7 +66,7 @@
             let name = format!("taken over/{}/{now}", handed_over.target.id);
             let result = ResultRecord {
                 worker,
-                bytes: handed_over.state.held_bytes,
+                bytes: handed_over.state.retained_bytes,
                 called_at: None,
                 expires: now + INHERITED_RESULT_MS,
                 peer: None,
--- a/crates/gateway/src/pools/batcher/mod.rs
+++ b/crates/gateway/src/pools/batcher/mod.rs
@@ -186,7 +186,7 @@
             expires: piece_request.expires,
             result_bytes: piece_request.result_bytes,
             group: self.group_of(&piece_request.piece),
-            holds_inputs: piece_request.holds_inputs,
+            has_large_inputs: piece_request.has_large_inputs,
             hall,
             halls,
         };
--- a/crates/gateway/src/pools/mod.rs
+++ b/crates/gateway/src/pools/mod.rs
@@ -59,7 +59,7 @@
     /// Estimated size of its result.
     pub result_bytes: u64,
     /// Whether its inputs are large results.
-    pub holds_inputs: bool,
+    pub has_large_inputs: bool,
     /// Preferred data hall of the result.
     pub hall: Option<String>,
     /// Data halls in which it may be produced; `None` means all.
@@ -151,7 +151,7 @@
             due_in_ms: piece_request.due as i64 - now as i64,
             expires_in_ms: piece_request.expires.saturating_sub(now),
             result_bytes: piece_request.result_bytes,
-            holds_inputs: piece_request.holds_inputs,
+            has_large_inputs: piece_request.has_large_inputs,
             hall: piece_request.hall.clone(),
             halls: piece_request.halls.clone(),
         }
@@ -216,7 +216,7 @@
             due: now.saturating_add_signed(request.due_in_ms),
             expires: now + request.expires_in_ms,
             result_bytes: request.result_bytes,
-            holds_inputs: request.holds_inputs,
+            has_large_inputs: request.has_large_inputs,
             hall: request.hall,
             halls: request.halls,
         };
--- a/crates/gateway/src/request/choose.rs
+++ b/crates/gateway/src/request/choose.rs
@@ -66,7 +66,7 @@
         results: prepared.bytes_by_hall(),
         is_suspect: cx.crashes.is_suspect(cx, || admitted.digest()),
         urgency: admitted.urgency,
-        waits_ms: admitted.max_wait().as_millis() as Millis,
+        max_wait_ms: admitted.max_wait().as_millis() as Millis,
     })
 }
 
--- a/crates/gateway/src/request/prepare/stage_run.rs
+++ b/crates/gateway/src/request/prepare/stage_run.rs
@@ -88,7 +88,7 @@
                     .critical_path_ms_after(index.stage, &|_| MIN_STAGE_MS),
             ),
             result_bytes: self.stages[index.stage].result_bytes,
-            holds_inputs: self.input_bytes(index) >= LARGE_RESULT_BYTES,
+            has_large_inputs: self.input_bytes(index) >= LARGE_RESULT_BYTES,
             hall: self.preferred_hall(index),
             halls: self.admitted.halls.clone(),
         }
--- a/crates/gateway/src/target_calls.rs
+++ b/crates/gateway/src/target_calls.rs
@@ -22,7 +22,7 @@
 }
 
 /// A complete answer of a target.
-pub struct WholeAnswer {
+pub struct CompleteAnswer {
     pub status: StatusCode,
     pub head: TargetHeaders,
     /// `None` when it is longer than the caller accepts; an error when it was interrupted.
@@ -56,10 +56,10 @@
     target: &Target,
     req: Request<Full<Bytes>>,
     max_bytes: usize,
-) -> Result<WholeAnswer, SendError> {
+) -> Result<CompleteAnswer, SendError> {
     let Answer { head, exchange } = send(cx, target, req, Reuse::Any).await?;
     let (parts, body) = exchange.into_body(true);
-    Ok(WholeAnswer {
+    Ok(CompleteAnswer {
         status: parts.status,
         head,
         body: body.collect(max_bytes).await,
--- a/crates/gateway/src/target_reports.rs
+++ b/crates/gateway/src/target_reports.rs
@@ -135,7 +135,8 @@
             let (cx, incarnation) = (cx.clone(), incarnation.clone());
             actix_rt::spawn(async move {
                 tokio::time::sleep_until(cx.clock.timer(at).into()).await;
-                cx.limit_broadcasts.sent(cx.clock.now(), &incarnation);
+                cx.limit_broadcasts
+                    .record_sent(cx.clock.now(), &incarnation);
                 request_limit_broadcast(&cx, &incarnation);
             });
         }
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -4,7 +4,7 @@
 //! the requests ahead of it and the time of its stages must fit into its deadline.
 //!
 //! An organisation that holds more than its weighted share of the requests in flight
-//! waits behind the others ([`Holding::is_over_share`]); capacity that they leave unused is
+//! waits behind the others ([`OrgUsage::is_over_share`]); capacity that they leave unused is
 //! available to it.
 
 use crate::deadline::StageExpectation;
@@ -36,7 +36,7 @@
 
 /// One organisation's part of the entry's requests in flight.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Holding {
+pub struct OrgUsage {
     pub own: u32,
     pub all: u32,
     /// Its weight over the total weight of the organisations with requests in flight,
@@ -44,7 +44,7 @@
     pub share: f64,
 }
 
-impl Holding {
+impl OrgUsage {
     /// True when one more request would exceed the share and its slack.
     pub fn is_over_share(&self) -> bool {
         let fair = self.share * f64::from(self.all + 1);
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -22,7 +22,7 @@
 pub mod scheduler;
 pub mod warm_up;
 
-pub use admission::{admit, critical_path, Holding, ServiceLoad, StageDemand, Verdict};
+pub use admission::{admit, critical_path, OrgUsage, ServiceLoad, StageDemand, Verdict};
 pub use budget::RetryBudget;
 pub use choose::{choose, Candidate, Choice, Reason};
 pub use crash_ledger::{CrashLedger, CrashVerdict, CrashedRun};
--- a/crates/routing/src/limit.rs
+++ b/crates/routing/src/limit.rs
@@ -101,7 +101,7 @@
     }
 
     /// Records a request sent to the target.
-    pub fn sent(&mut self, now: Millis, limit: Option<f64>, share: LimitShare) {
+    pub fn record_sent(&mut self, now: Millis, limit: Option<f64>, share: LimitShare) {
         let Some(per_s) = limit else { return };
         let spacing = spacing_ms(per_s, share);
         self.full_at_ms = now as f64 + self.missing_ms(now, spacing, share) + spacing;
--- a/crates/routing/src/scheduler/mod.rs
+++ b/crates/routing/src/scheduler/mod.rs
@@ -109,14 +109,15 @@
     /// 0 is the most urgent.
     pub urgency: u8,
     /// Maximum wait while all engines are closed by their limits, in milliseconds.
-    pub waits_ms: Millis,
+    #[serde(rename = "waits_ms")]
+    pub max_wait_ms: Millis,
 }
 
 /// How a placement ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlacementEnd {
     /// The answer was complete.
-    Whole,
+    Completed,
     /// No valid answer, through a fault of the engine.
     Failed,
     /// Abandoned for another reason.
@@ -196,7 +197,7 @@
         PlacementEnd::Abandoned if !placement.has_first_event => {
             Some(Observation::TimedOut(now - placement.placed_at))
         }
-        PlacementEnd::Abandoned | PlacementEnd::Whole => None,
+        PlacementEnd::Abandoned | PlacementEnd::Completed => None,
     }
 }
 
@@ -392,8 +393,10 @@
         state.pending_prefill_tokens += prefill_tokens;
         state
             .warm_up_gate
-            .sent(now, self.limit_share.warm_up_share());
-        state.limit_gate.sent(now, state.limit, self.limit_share);
+            .record_sent(now, self.limit_share.warm_up_share());
+        state
+            .limit_gate
+            .record_sent(now, state.limit, self.limit_share);
         let tokens_ahead = state.pending_prefill_tokens;
         // A request without a prompt leaves no prefix in the cache.
         let was_cached = demand.prompt_tokens > 0 && {
@@ -443,7 +446,7 @@
     }
 
     /// Ends a placement. Returns newly ejected engines.
-    pub fn ended(&mut self, key: PlacementKey, end: PlacementEnd, now: Millis) -> Vec<K> {
+    pub fn record_end(&mut self, key: PlacementKey, end: PlacementEnd, now: Millis) -> Vec<K> {
         let Some(placement) = self.placements.remove(key) else {
             return Vec::new();
         };
@@ -510,7 +513,7 @@
             .collect();
         let mut ejected = Vec::new();
         for key in stale {
-            ejected.extend(self.ended(key, PlacementEnd::Whole, now));
+            ejected.extend(self.record_end(key, PlacementEnd::Completed, now));
         }
         self.cached.retain(|_, cached| {
             cached.retain(|_, used| now < *used + PREFIX_TTL_MS);
--- a/crates/routing/src/warm_up.rs
+++ b/crates/routing/src/warm_up.rs
@@ -70,7 +70,7 @@
     }
 
     /// Records a request of a sender with a share of the rate.
-    pub fn sent(&mut self, now: Millis, share: f64) {
+    pub fn record_sent(&mut self, now: Millis, share: f64) {
         let Some(warm_up) = self.warm_up.filter(|warm_up| now < warm_up.until) else {
             return;
         };
--- a/crates/routing/tests/suite/admission.rs
+++ b/crates/routing/tests/suite/admission.rs
@@ -1,7 +1,7 @@
 //! Admission decisions and queue order.
 
 use hollowsail_routing::{
-    admit, Holding, Rank, ServiceLoad, StageDemand, StageExpectation, Verdict, WaitQueue,
+    admit, OrgUsage, Rank, ServiceLoad, StageDemand, StageExpectation, Verdict, WaitQueue,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -78,12 +78,12 @@
                 continue;
             }
             sent[org] += 1;
-            let holding = Holding {
+            let usage = OrgUsage {
                 own: held[org],
                 all: held[0] + held[1],
                 share: 0.5,
             };
-            let rank = rank(holding.is_over_share(), step + 100, step * 2 + org as u64);
+            let rank = rank(usage.is_over_share(), step + 100, step * 2 + org as u64);
             let ahead = (running.len() + queue.ahead_of(&rank)) as f64;
             if admit(150, &[stage(ahead, 50, 50)], 0.0) == Verdict::Admit {
                 queue.push(rank, org);
--- a/crates/routing/tests/suite/crash_ledger.rs
+++ b/crates/routing/tests/suite/crash_ledger.rs
@@ -300,7 +300,7 @@
             results: Vec::new(),
             is_suspect: verdict == CrashVerdict::Suspect,
             urgency: 0,
-            waits_ms: 0,
+            max_wait_ms: 0,
         };
         let salt: u64 = self.rng.random();
         let affinity = |engine: &usize| (*engine as u64 + 1).wrapping_mul(salt);
@@ -330,7 +330,8 @@
         let (whole, running): (Vec<_>, Vec<_>) = running.partition(|run| now >= run.sent + RUN_MS);
         self.running = running;
         for run in whole {
-            self.scheduler.ended(run.key, PlacementEnd::Whole, now);
+            self.scheduler
+                .record_end(run.key, PlacementEnd::Completed, now);
             self.ledger.record_success(digest(run.request));
         }
     }
@@ -346,7 +347,8 @@
             running.partition(|run| run.engine == engine);
         self.running = running;
         for run in interrupted {
-            self.scheduler.ended(run.key, PlacementEnd::Failed, now);
+            self.scheduler
+                .record_end(run.key, PlacementEnd::Failed, now);
             let request = digest(run.request);
             let crash = CrashedRun {
                 sent: run.sent,
--- a/crates/routing/tests/suite/limit.rs
+++ b/crates/routing/tests/suite/limit.rs
@@ -37,7 +37,7 @@
     let mut sent = Vec::new();
     for now in 0..duration {
         while gate.opens(now, Some(per_s), share) == now {
-            gate.sent(now, Some(per_s), share);
+            gate.record_sent(now, Some(per_s), share);
             sent.push(now);
         }
     }
@@ -100,7 +100,7 @@
 fn limit_changes_take_effect_at_once() {
     let mut gate = LimitGate::default();
     for _ in 0..2 {
-        gate.sent(0, Some(0.2), settled());
+        gate.record_sent(0, Some(0.2), settled());
     }
     assert!(gate.opens(0, Some(0.2), settled()) > 4_000);
     assert!(gate.opens(0, Some(100.0), settled()) <= 11);
@@ -109,12 +109,12 @@
     let mut sent = 0;
     for now in 0..1_000 {
         while gate.opens(now, Some(300.0), settled()) == now {
-            gate.sent(now, Some(300.0), settled());
+            gate.record_sent(now, Some(300.0), settled());
         }
     }
     for now in 1_000..5_000 {
         while gate.opens(now, Some(1.0), settled()) == now {
-            gate.sent(now, Some(1.0), settled());
+            gate.record_sent(now, Some(1.0), settled());
             sent += 1;
         }
     }
@@ -135,7 +135,7 @@
             for _ in 0..duration {
                 now += 1;
                 while is_busy && gate.opens(now, Some(per_s), settled()) == now {
-                    gate.sent(now, Some(per_s), settled());
+                    gate.record_sent(now, Some(per_s), settled());
                     sent.push(now);
                 }
             }
@@ -167,7 +167,7 @@
         results: Vec::new(),
         is_suspect: false,
         urgency: 0,
-        waits_ms: 500,
+        max_wait_ms: 500,
     }
 }
 
--- a/crates/routing/tests/suite/scheduler.rs
+++ b/crates/routing/tests/suite/scheduler.rs
@@ -34,7 +34,7 @@
         results: Vec::new(),
         is_suspect: false,
         urgency: 0,
-        waits_ms: 0,
+        max_wait_ms: 0,
     }
 }
 
@@ -114,7 +114,7 @@
         results: vec![("hall-a".into(), 9_000_000)],
         is_suspect: false,
         urgency: 0,
-        waits_ms: 0,
+        max_wait_ms: 0,
         ..demand("q")
     };
     assert_eq!(
@@ -137,23 +137,23 @@
     let (key, engine) = scheduler
         .place(now, &demand, order)
         .expect("an engine is chosen");
-    if end == PlacementEnd::Whole {
+    if end == PlacementEnd::Completed {
         scheduler.prefill_done(key, now + 100);
     }
-    (engine, scheduler.ended(key, end, now + 100))
+    (engine, scheduler.record_end(key, end, now + 100))
 }
 
 #[test]
 fn engine_failing_one_hall_serves_others() {
     let mut scheduler = scheduler(&["a", "b", "c"]);
-    end_from(&mut scheduler, 0, "hall-b", PlacementEnd::Whole);
+    end_from(&mut scheduler, 0, "hall-b", PlacementEnd::Completed);
     for n in 0..3 {
         let (engine, ejected) = end_from(&mut scheduler, 10 + n, "hall-a", PlacementEnd::Failed);
         assert_eq!((engine, ejected.len()), ("c", usize::from(n == 2)));
     }
-    let (for_a, _) = end_from(&mut scheduler, 200, "hall-a", PlacementEnd::Whole);
+    let (for_a, _) = end_from(&mut scheduler, 200, "hall-a", PlacementEnd::Completed);
     assert_ne!(for_a, "c", "ejected for this hall");
-    let (for_b, _) = end_from(&mut scheduler, 200, "hall-b", PlacementEnd::Whole);
+    let (for_b, _) = end_from(&mut scheduler, 200, "hall-b", PlacementEnd::Completed);
     assert_eq!(for_b, "c", "not ejected for this hall");
 }
 
@@ -164,7 +164,7 @@
         let (engine, _) = end_from(&mut scheduler, n as u64, hall, PlacementEnd::Failed);
         assert_eq!(engine, "c");
     }
-    let (for_c, _) = end_from(&mut scheduler, 200, "hall-c", PlacementEnd::Whole);
+    let (for_c, _) = end_from(&mut scheduler, 200, "hall-c", PlacementEnd::Completed);
     assert_ne!(for_c, "c", "ejected without failures from this hall");
 }
 
@@ -175,7 +175,7 @@
     for n in 0..3 {
         let (key, engine) = place(&mut scheduler, n, "p");
         assert_eq!(engine, "c");
-        ejected.extend(scheduler.ended(key, PlacementEnd::Failed, n));
+        ejected.extend(scheduler.record_end(key, PlacementEnd::Failed, n));
     }
     assert_eq!(ejected, ["c"]);
     assert_ne!(place(&mut scheduler, 10, "p").1, "c");
@@ -201,7 +201,7 @@
                 order,
             )
             .expect("engine c is chosen");
-        ejected.extend(scheduler.ended(key, PlacementEnd::Abandoned, n + 4_000));
+        ejected.extend(scheduler.record_end(key, PlacementEnd::Abandoned, n + 4_000));
     }
     assert_eq!(ejected, ["c"]);
 }
@@ -218,10 +218,10 @@
         .expect("an engine is chosen");
     assert_eq!(engine, "b");
     scheduler.prefill_done(key, 200);
-    scheduler.ended(key, PlacementEnd::Whole, 900);
+    scheduler.record_end(key, PlacementEnd::Completed, 900);
     let (key, engine) = place(&mut scheduler, 1_000, "p");
     assert_eq!(engine, "b", "it caches the prefix");
-    scheduler.ended(key, PlacementEnd::Abandoned, 1_001);
+    scheduler.record_end(key, PlacementEnd::Abandoned, 1_001);
     assert_eq!(
         place(&mut scheduler, 1_100, "p").1,
         "b",
@@ -244,7 +244,7 @@
     let mut ejected = Vec::new();
     for n in 0..40 {
         let (key, _) = place(&mut scheduler, n, &format!("p{n}"));
-        ejected.extend(scheduler.ended(key, PlacementEnd::Failed, n));
+        ejected.extend(scheduler.record_end(key, PlacementEnd::Failed, n));
     }
     assert_eq!(ejected.len(), 2);
 }
@@ -268,14 +268,14 @@
                 _ => {
                     if !open.is_empty() {
                         let key = open.swap_remove(pick % open.len());
-                        let ends = [PlacementEnd::Whole, PlacementEnd::Abandoned, PlacementEnd::Failed];
-                        scheduler.ended(key, ends[pick % 3], now);
+                        let ends = [PlacementEnd::Completed, PlacementEnd::Abandoned, PlacementEnd::Failed];
+                        scheduler.record_end(key, ends[pick % 3], now);
                     }
                 }
             }
         }
         for key in open {
-            scheduler.ended(key, PlacementEnd::Whole, now);
+            scheduler.record_end(key, PlacementEnd::Completed, now);
         }
         prop_assert!(scheduler.is_idle());
     }
@@ -285,7 +285,7 @@
     Demand {
         is_suspect: true,
         urgency: 0,
-        waits_ms: 0,
+        max_wait_ms: 0,
         ..demand("p")
     }
 }
@@ -303,12 +303,12 @@
     let idle = place(&mut scheduler, &suspect());
     let other = place(&mut scheduler, &suspect());
     assert_ne!(idle.1, other.1, "two suspects never share an engine");
-    scheduler.ended(other.0, PlacementEnd::Abandoned, 0);
+    scheduler.record_end(other.0, PlacementEnd::Abandoned, 0);
     for number in 0..20 {
         let (_, engine) = place(&mut scheduler, &demand(&format!("p{number}")));
         assert_ne!(engine, idle.1, "placed beside a suspect");
     }
-    scheduler.ended(idle.0, PlacementEnd::Whole, 0);
+    scheduler.record_end(idle.0, PlacementEnd::Completed, 0);
     let engines = (0..20).map(|number| place(&mut scheduler, &demand(&format!("q{number}"))).1);
     let engines: Vec<&str> = engines.collect();
     assert!(
@@ -356,7 +356,7 @@
         results: Vec::new(),
         is_suspect: false,
         urgency: 0,
-        waits_ms: 0,
+        max_wait_ms: 0,
     };
     let prefers = |id: &'static str| move |key: &(&str, u64)| u64::from(key.0 == id);
     let next_after = |restarted: &[SchedulableEngine<(&'static str, u64)>]| {
@@ -366,7 +366,7 @@
             .place(0, &demand, prefers("a"))
             .expect("an engine is chosen");
         scheduler.prefill_done(first, 100);
-        scheduler.ended(first, PlacementEnd::Whole, 150);
+        scheduler.record_end(first, PlacementEnd::Completed, 150);
         scheduler.set_engines(200, restarted);
         scheduler
             .place(200, &demand, prefers("b"))
--- a/crates/routing/tests/suite/warm_up.rs
+++ b/crates/routing/tests/suite/warm_up.rs
@@ -71,7 +71,7 @@
             for (gate, share, phase) in owners.chain(bypassing) {
                 gate.update(now, Some(warm_up), share, phase);
                 if gate.is_open(now) {
-                    gate.sent(now, share);
+                    gate.record_sent(now, share);
                     arrivals.push(now + travel_ms[arrivals.len() % travel_ms.len()]);
                 }
             }
@@ -94,7 +94,7 @@
     let mut gate = WarmUpGate::default();
     for _ in 0..100 {
         assert!(gate.is_open(0));
-        gate.sent(0, SCHEDULER_SHARE);
+        gate.record_sent(0, SCHEDULER_SHARE);
     }
 }
 
@@ -103,11 +103,11 @@
     let mut gate = WarmUpGate::default();
     gate.update(0, warm_up(3_000), NO_SCHEDULER_SHARE, 0.0);
     assert!(gate.is_open(0));
-    gate.sent(0, NO_SCHEDULER_SHARE);
+    gate.record_sent(0, NO_SCHEDULER_SHARE);
     assert!(!gate.is_open(124));
     assert_eq!(gate.opens(0), 125);
     assert!(gate.is_open(125));
-    gate.sent(2_990, NO_SCHEDULER_SHARE);
+    gate.record_sent(2_990, NO_SCHEDULER_SHARE);
     assert_eq!(gate.opens(2_991), 3_000, "the warm-up ends then");
     gate.update(2_991, None, NO_SCHEDULER_SHARE, 0.0);
     assert!(gate.is_open(2_991));
@@ -143,7 +143,7 @@
             results: Vec::new(),
             is_suspect: false,
             urgency: 0,
-            waits_ms: 0,
+            max_wait_ms: 0,
         };
         let placement = scheduler.place(number * 10, &demand, |_| 0);
         placed_on.push(placement.expect("one engine is warm").1);
@@ -177,7 +177,7 @@
         results: Vec::new(),
         is_suspect: false,
         urgency: 0,
-        waits_ms: 0,
+        max_wait_ms: 0,
     };
     assert!(scheduler.place(0, &demand, |_| 0).is_some());
     assert!(scheduler.place(50, &demand, |_| 0).is_none());
--- a/crates/stages/src/batch/calls.rs
+++ b/crates/stages/src/batch/calls.rs
@@ -62,7 +62,7 @@
             if let Some(group) = self.groups.get_mut(&piece.order.group) {
                 group.started = true;
             }
-            self.workers[worker].held_bytes += result_bytes;
+            self.workers[worker].retained_bytes += result_bytes;
         }
         self.workers[worker].calls += 1;
         self.workers[worker].record_call(now, self.limit_share);
--- a/crates/stages/src/batch/choose.rs
+++ b/crates/stages/src/batch/choose.rs
@@ -146,7 +146,7 @@
         if self.is_started(order.group) {
             return GroupOrder::Started;
         }
-        let is_late = order.due < earliest_end && !order.holds_inputs;
+        let is_late = order.due < earliest_end && !order.has_large_inputs;
         // A group that can wait for the next call yields to a less urgent one that can't;
         // strict priority order would make the latter late without a gain for the former.
         let next_call = self.rules.expected_ms(self.rules.batch) as Millis;
--- a/crates/stages/src/batch/types.rs
+++ b/crates/stages/src/batch/types.rs
@@ -77,7 +77,7 @@
     pub group: GroupKey,
     /// True when its inputs occupy worker memory until it is complete. Such a piece doesn't
     /// queue behind others even when it is late.
-    pub holds_inputs: bool,
+    pub has_large_inputs: bool,
     /// Preferred hall; workers of other halls take it only after a wait.
     pub hall: Option<HallKey>,
 }
--- a/crates/stages/src/batch/workers.rs
+++ b/crates/stages/src/batch/workers.rs
@@ -44,7 +44,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct WorkerState {
     /// Memory occupied by results.
-    pub held_bytes: u64,
+    #[serde(rename = "held_bytes")]
+    pub retained_bytes: u64,
     /// Expected time until its call ends, in milliseconds; 0 without a call.
     pub busy_ms: Millis,
     /// Moving average of the ratio of actual to expected call time.
@@ -55,7 +56,7 @@
 pub(super) struct Worker {
     pub hall: HallKey,
     pub calls: usize,
-    pub held_bytes: u64,
+    pub retained_bytes: u64,
     /// No new call before this time.
     pub backoff_until: Millis,
     /// Only small results before this time, because its memory is full.
@@ -85,7 +86,7 @@
 
     /// Counts a call towards the rate limit.
     pub fn record_call(&mut self, now: Millis, share: LimitShare) {
-        self.gate.sent(now, self.limit, share);
+        self.gate.record_sent(now, self.limit, share);
     }
 
     pub fn is_slow(&self) -> bool {
@@ -108,7 +109,7 @@
         self.workers.insert(Worker {
             hall,
             calls: 0,
-            held_bytes: 0,
+            retained_bytes: 0,
             backoff_until: 0,
             memory_full_until: 0,
             failures: 0,
@@ -182,7 +183,7 @@
     /// Slowness plus used share of memory; the worker with the lowest score goes first.
     pub(super) fn load_score(&self, worker: WorkerKey) -> f64 {
         let worker = &self.workers[worker];
-        worker.slowness + worker.held_bytes as f64 / self.rules.result_bytes.max(1) as f64
+        worker.slowness + worker.retained_bytes as f64 / self.rules.result_bytes.max(1) as f64
     }
 
     /// Memory of a worker that is still available to results, in bytes.
@@ -193,7 +194,7 @@
             return self.small_results_memory();
         }
         let usable = (total * USABLE_MEMORY_SHARE) as u64;
-        usable.saturating_sub(state.held_bytes)
+        usable.saturating_sub(state.retained_bytes)
     }
 
     /// Memory available to small results at a worker whose memory is full, in bytes.
@@ -220,7 +221,7 @@
     /// Releases the memory of results at a worker.
     pub fn release_memory(&mut self, worker: WorkerKey, bytes: u64) {
         if let Some(worker) = self.workers.get_mut(worker) {
-            worker.held_bytes = worker.held_bytes.saturating_sub(bytes);
+            worker.retained_bytes = worker.retained_bytes.saturating_sub(bytes);
         }
     }
 
@@ -262,7 +263,7 @@
             .filter(|call| call.worker == worker)
             .map(|call| call.started + call.expected_ms as Millis);
         Some(WorkerState {
-            held_bytes: state.held_bytes,
+            retained_bytes: state.retained_bytes,
             busy_ms: ends.max().unwrap_or(0).saturating_sub(now),
             slowness: state.slowness,
         })
@@ -273,7 +274,7 @@
     /// get a whole batch from each new owner.
     pub fn take_over(&mut self, worker: WorkerKey, previous: &WorkerState, now: Millis) {
         if let Some(state) = self.workers.get_mut(worker) {
-            state.held_bytes += previous.held_bytes;
+            state.retained_bytes += previous.retained_bytes;
             state.backoff_until = state.backoff_until.max(now + previous.busy_ms);
             state.slowness = state.slowness.max(previous.slowness);
         }
--- a/crates/stages/tests/suite/batch.rs
+++ b/crates/stages/tests/suite/batch.rs
@@ -25,7 +25,7 @@
         expires: 20_000,
         result_bytes: 1_000,
         group: GroupKey(group),
-        holds_inputs: false,
+        has_large_inputs: false,
         hall: None,
         halls: Halls::ALL,
     }
@@ -112,7 +112,7 @@
     push(&mut queue, order(1), 1);
     let late = PieceOrder {
         due: 5,
-        holds_inputs: true,
+        has_large_inputs: true,
         ..order(2)
     };
     push(&mut queue, late, 1);
@@ -371,7 +371,7 @@
     let waiting = push(&mut queue, order(2), 2);
     assert_eq!(queue.take_waiting(), waiting);
     let state = WorkerState {
-        held_bytes: 4_000,
+        retained_bytes: 4_000,
         busy_ms: 100,
         slowness: 1.0,
     };
--- a/crates/stages/tests/suite/limited.rs
+++ b/crates/stages/tests/suite/limited.rs
@@ -27,7 +27,7 @@
         expires: now + 20_000,
         result_bytes: 1_000,
         group: GroupKey(group),
-        holds_inputs: false,
+        has_large_inputs: false,
         hall: None,
         halls: Halls::ALL,
     };
--- a/crates/stages/tests/suite/random_queue.rs
+++ b/crates/stages/tests/suite/random_queue.rs
@@ -143,7 +143,7 @@
                 due: world.now + 500,
                 expires: world.now + 10_000,
                 result_bytes: bytes,
-                holds_inputs: group % 3 == 0,
+                has_large_inputs: group % 3 == 0,
                 group: GroupKey(group),
                 hall: hall.map(HallKey),
                 halls: Halls::ALL,
--- a/crates/targets/src/target.rs
+++ b/crates/targets/src/target.rs
@@ -97,7 +97,7 @@
     /// Counts a send of this entry, which has this share of the rate allowed in the warm-up.
     pub fn count_warm_up_send(&self, now: Millis, share: f64) {
         let mut gate = self.gate.get();
-        gate.sent(now, share);
+        gate.record_sent(now, share);
         self.gate.set(gate);
     }
 
