--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -229,7 +229,7 @@
             wants_all: !self.joined,
             holds_all: false,
             members: self.records_to_send(),
-            leaving: self.hosts.to_spread(),
+            leaving: self.hosts.next_to_send(),
         }
     }
 
--- a/crates/fleet/src/host_view.rs
+++ b/crates/fleet/src/host_view.rs
@@ -135,7 +135,7 @@
     }
 
     /// Leaving hosts for the next message, least often sent first.
-    pub fn to_spread(&mut self) -> Vec<LeavingHost> {
+    pub fn next_to_send(&mut self) -> Vec<LeavingHost> {
         let mut order: Vec<usize> = (0..self.sends.len()).collect();
         order.sort_by_key(|index| self.sends[*index].0);
         order
--- a/crates/routing/src/limit.rs
+++ b/crates/routing/src/limit.rs
@@ -93,7 +93,7 @@
 impl LimitGate {
     /// Earliest time of the next request: `now` if the gate is open, as always without a
     /// limit.
-    pub fn opens(&self, now: Millis, limit: Option<f64>, share: LimitShare) -> Millis {
+    pub fn opens_at(&self, now: Millis, limit: Option<f64>, share: LimitShare) -> Millis {
         let Some(per_s) = limit else { return now };
         let spacing = spacing_ms(per_s, share);
         let wait_ms = self.missing_ms(now, spacing, share) - (share.burst - 1.0) * spacing;
--- a/crates/routing/src/scheduler/mod.rs
+++ b/crates/routing/src/scheduler/mod.rs
@@ -142,9 +142,9 @@
 
 impl Engine {
     /// Earliest time of the next request.
-    fn opens(&self, now: Millis, share: LimitShare) -> Millis {
-        let by_limit = self.limit_gate.opens(now, self.limit, share);
-        self.warm_up_gate.opens(now).max(by_limit)
+    fn opens_at(&self, now: Millis, share: LimitShare) -> Millis {
+        let by_limit = self.limit_gate.opens_at(now, self.limit, share);
+        self.warm_up_gate.opens_at(now).max(by_limit)
     }
 }
 
@@ -252,7 +252,7 @@
             engines.filter(|engine| engine.limit.is_some() && engine.warm_up_gate.is_open(now));
         let first = limited
             .clone()
-            .map(|engine| engine.opens(now, share))
+            .map(|engine| engine.opens_at(now, share))
             .min()?;
         let rates = limited.filter_map(|engine| engine.limit);
         let per_s: f64 = rates.map(|per_s| share.rate(per_s)).sum();
@@ -266,13 +266,13 @@
     /// True when any engine may get a request now.
     pub fn is_any_open(&self, now: Millis) -> bool {
         let mut engines = self.engines.values();
-        engines.any(|engine| engine.opens(now, self.limit_share) == now)
+        engines.any(|engine| engine.opens_at(now, self.limit_share) == now)
     }
 
     /// Time at which the next closed engine opens; `None` when all are open.
     pub fn next_opening(&self, now: Millis) -> Option<Millis> {
         let engines = self.engines.values();
-        let opens = engines.map(|engine| engine.opens(now, self.limit_share));
+        let opens = engines.map(|engine| engine.opens_at(now, self.limit_share));
         opens.filter(|opens| *opens > now).min()
     }
 
@@ -286,7 +286,7 @@
     ) -> Option<(PlacementKey, K)> {
         let open = self
             .allowed(demand)
-            .filter(|key| self.engines[*key].opens(now, self.limit_share) == now)
+            .filter(|key| self.engines[*key].opens_at(now, self.limit_share) == now)
             .collect();
         let keys = match demand.is_suspect {
             true => self.least_affected(now, &demand.from_hall, open),
--- a/crates/routing/src/warm_up.rs
+++ b/crates/routing/src/warm_up.rs
@@ -58,7 +58,7 @@
     }
 
     /// Earliest time of the next request; `now` if the gate is open.
-    pub fn opens(&self, now: Millis) -> Millis {
+    pub fn opens_at(&self, now: Millis) -> Millis {
         match self.warm_up {
             Some(warm_up) if now < warm_up.until => self.opens_at.clamp(now, warm_up.until),
             _ => now,
@@ -66,7 +66,7 @@
     }
 
     pub fn is_open(&self, now: Millis) -> bool {
-        self.opens(now) == now
+        self.opens_at(now) == now
     }
 
     /// Records a request of a sender with a share of the rate.
--- a/crates/routing/tests/suite/limit.rs
+++ b/crates/routing/tests/suite/limit.rs
@@ -36,7 +36,7 @@
     let mut gate = LimitGate::default();
     let mut sent = Vec::new();
     for now in 0..duration {
-        while gate.opens(now, Some(per_s), share) == now {
+        while gate.opens_at(now, Some(per_s), share) == now {
             gate.record_sent(now, Some(per_s), share);
             sent.push(now);
         }
@@ -102,18 +102,18 @@
     for _ in 0..2 {
         gate.record_sent(0, Some(0.2), settled());
     }
-    assert!(gate.opens(0, Some(0.2), settled()) > 4_000);
-    assert!(gate.opens(0, Some(100.0), settled()) <= 11);
-    assert_eq!(gate.opens(0, None, settled()), 0);
+    assert!(gate.opens_at(0, Some(0.2), settled()) > 4_000);
+    assert!(gate.opens_at(0, Some(100.0), settled()) <= 11);
+    assert_eq!(gate.opens_at(0, None, settled()), 0);
     let mut gate = LimitGate::default();
     let mut sent = 0;
     for now in 0..1_000 {
-        while gate.opens(now, Some(300.0), settled()) == now {
+        while gate.opens_at(now, Some(300.0), settled()) == now {
             gate.record_sent(now, Some(300.0), settled());
         }
     }
     for now in 1_000..5_000 {
-        while gate.opens(now, Some(1.0), settled()) == now {
+        while gate.opens_at(now, Some(1.0), settled()) == now {
             gate.record_sent(now, Some(1.0), settled());
             sent += 1;
         }
@@ -134,7 +134,7 @@
             highest = highest.max(per_s);
             for _ in 0..duration {
                 now += 1;
-                while is_busy && gate.opens(now, Some(per_s), settled()) == now {
+                while is_busy && gate.opens_at(now, Some(per_s), settled()) == now {
                     gate.record_sent(now, Some(per_s), settled());
                     sent.push(now);
                 }
--- a/crates/routing/tests/suite/warm_up.rs
+++ b/crates/routing/tests/suite/warm_up.rs
@@ -105,10 +105,10 @@
     assert!(gate.is_open(0));
     gate.record_sent(0, NO_SCHEDULER_SHARE);
     assert!(!gate.is_open(124));
-    assert_eq!(gate.opens(0), 125);
+    assert_eq!(gate.opens_at(0), 125);
     assert!(gate.is_open(125));
     gate.record_sent(2_990, NO_SCHEDULER_SHARE);
-    assert_eq!(gate.opens(2_991), 3_000, "the warm-up ends then");
+    assert_eq!(gate.opens_at(2_991), 3_000, "the warm-up ends then");
     gate.update(2_991, None, NO_SCHEDULER_SHARE, 0.0);
     assert!(gate.is_open(2_991));
 }
--- a/crates/stages/src/batch/workers.rs
+++ b/crates/stages/src/batch/workers.rs
@@ -80,7 +80,7 @@
     /// Earliest time of the next call, regardless of calls in progress.
     pub fn next_call_at(&self, now: Millis, share: LimitShare) -> Millis {
         self.gate
-            .opens(now, self.limit, share)
+            .opens_at(now, self.limit, share)
             .max(self.backoff_until)
     }
 
