--- a/crates/fleet/src/host_view.rs
+++ b/crates/fleet/src/host_view.rs
@@ -107,7 +107,7 @@
 
     /// Records that the last listed incarnation of a host is leaving, for sources that give
     /// no incarnation. True when it wasn't known before.
-    pub fn learn_by_name(&mut self, name: &str) -> bool {
+    pub fn mark_leaving(&mut self, name: &str) -> bool {
         let incarnation = self.incarnation(name);
         self.learn(LeavingHost {
             name: name.into(),
@@ -135,7 +135,7 @@
     }
 
     /// Leaving hosts for the next message, least often sent first.
-    pub fn to_spread(&mut self) -> Vec<LeavingHost> {
+    pub fn next_to_send(&mut self) -> Vec<LeavingHost> {
         let mut order: Vec<usize> = (0..self.sends.len()).collect();
         order.sort_by_key(|index| self.sends[*index].0);
         order
--- a/crates/routing/src/warm_up.rs
+++ b/crates/routing/src/warm_up.rs
@@ -58,7 +58,7 @@
     }
 
     /// Earliest time of the next request; `now` if the gate is open.
-    pub fn opens(&self, now: Millis) -> Millis {
+    pub fn opens_at(&self, now: Millis) -> Millis {
         match self.warm_up {
             Some(warm_up) if now < warm_up.until => self.opens_at.clamp(now, warm_up.until),
             _ => now,
@@ -66,11 +66,11 @@
     }
 
     pub fn is_open(&self, now: Millis) -> bool {
-        self.opens(now) == now
+        self.opens_at(now) == now
     }
 
     /// Records a request of a sender with a share of the rate.
-    pub fn sent(&mut self, now: Millis, share: f64) {
+    pub fn record_sent(&mut self, now: Millis, share: f64) {
         let Some(warm_up) = self.warm_up.filter(|warm_up| now < warm_up.until) else {
             return;
         };
