--- a/tests/suite/gateway.rs
+++ b/tests/suite/gateway.rs
@@ -155,7 +155,7 @@
 }
 
 /// Sends a GET request; returns the status, or `None` when the response is incomplete.
-async fn get_status(addr: SocketAddr, path: &str) -> Option<u16> {
+pub(crate) async fn get_status(addr: SocketAddr, path: &str) -> Option<u16> {
     let mut stream = TcpStream::connect(addr).await.ok()?;
     let request = format!(
         "GET {path} HTTP/1.1\r\nHost: host.example\r\nX-Request-Id: 1\r\nConnection: close\r\n\r\n"
--- a/tests/suite/main.rs
+++ b/tests/suite/main.rs
@@ -5,5 +5,6 @@
 mod gateway;
 mod local_platform;
 mod mixed_builds;
+mod mixed_rollouts;
 mod output;
 mod process;
--- a/tests/suite/mixed_builds.rs
+++ b/tests/suite/mixed_builds.rs
@@ -15,7 +15,7 @@
 use crate::daemon::{apply, pay, start_programs, ticket, wait_for_member, wait_until, Fleet, KEY};
 use crate::process::{own_program, Daemon};
 
-fn old_program() -> PathBuf {
+pub(crate) fn old_program() -> PathBuf {
     std::env::var_os("HOLLOWSAIL_OLD_BUILD").map_or_else(own_program, PathBuf::from)
 }
 
