--- a/crates/entry/src/context.rs
+++ b/crates/entry/src/context.rs
@@ -22,7 +22,7 @@
 /// State of one entry process, shared by its threads.
 pub struct Entry {
     pub settings: Settings,
-    /// Mechanisms that are switched on; all except in the bench.
+    /// Mechanisms that are switched on; all except in measurements.
     pub switches: Switches,
     pub incarnation: Incarnation,
     turn: AtomicUsize,
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -58,7 +58,7 @@
     control_thread: Arbiter,
 }
 
-/// Options of a start other than the settings, for tests and the bench.
+/// Options of a start other than the settings, for tests and measurements.
 #[derive(Debug, Clone, Default)]
 pub struct StartOptions {
     pub timing: FleetTiming,
--- a/tests/suite/gateway.rs
+++ b/tests/suite/gateway.rs
@@ -8,9 +8,12 @@
 use std::time::Duration;
 
 use hollowsail_platform_standins::{DeploymentJson, StoreStandin, TargetStandin};
+use rand::Rng;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
+use crate::process::own_program;
+
 const TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A running `hollowsail gateway`; killed when dropped.
@@ -27,28 +30,35 @@
     }
 }
 
+/// A free port below those that the system gives to outgoing connections, which could take it
+/// before the gateway listens there.
 fn free_addr() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("loopback can be bound");
-    listener.local_addr().expect("the listener is bound")
+    loop {
+        let port = rand::rng().random_range(15_000..30_000);
+        if let Ok(listener) = TcpListener::bind(("127.0.0.1", port)) {
+            return listener.local_addr().expect("the listener is bound");
+        }
+    }
 }
 
-fn settings(directory: &Path, store: SocketAddr, grace_s: u32) -> PathBuf {
+/// Writes the settings of a gateway on `host`.
+pub(crate) fn settings(directory: &Path, host: &str, store: SocketAddr, grace_s: u32) -> PathBuf {
     let [callers, readiness, peers, metrics] = [(); 4].map(|()| free_addr());
     let text = format!(
-        "node: host-1\nip: 127.0.0.1\nzone: hall-a\n\
+        "node: {host}\nip: 127.0.0.1\nzone: hall-a\n\
          listen:\n  front: {callers}\n  readiness: {readiness}\n  control: {peers}\n  metrics: {metrics}\n\
          limits:\n  memory_mb: 260\n  max_fds: 4100\n\
          bounds:\n  drain_ms: 2000\n  grace_s: {grace_s}\n  config_apply_ms: 2000\n\
          platform:\n  address: {store}\nheartbeat_ms: 1200\n"
     );
-    let path = directory.join("settings.yaml");
+    let path = directory.join(format!("{host}.yaml"));
     std::fs::write(&path, text).expect("settings can be written");
     path
 }
 
 /// Starts the process with its standard output in a pipe.
-fn spawn(settings: &Path) -> Child {
-    Command::new(env!("CARGO_BIN_EXE_hollowsail"))
+pub(crate) fn spawn(program: &Path, settings: &Path) -> Child {
+    Command::new(program)
         .arg("gateway")
         .env("HOLLOWSAIL_BOOT", settings)
         .stdout(Stdio::piped())
@@ -58,7 +68,7 @@
 
 impl Gateway {
     fn start(settings: &Path) -> Self {
-        let mut child = spawn(settings);
+        let mut child = spawn(&own_program(), settings);
         let stdout = BufReader::new(child.stdout.take().expect("piped"));
         let (tx, lines) = channel();
         std::thread::spawn(move || {
@@ -95,14 +105,14 @@
     let store = StoreStandin::start().await;
     store.put("op/config", &DeploymentJson::new(3).bytes());
     let directory = tempfile::tempdir().expect("a temporary directory");
-    let path = settings(directory.path(), store.addr, 2);
+    let path = settings(directory.path(), "host-1", store.addr, 2);
     let mut gateway = Gateway::start(&path);
     assert!(gateway
         .wait_for_line("HS0101 started")
         .await
         .contains("hall=hall-a"));
     assert!(gateway.wait_for_line("HS0301").await.contains("version=3"));
-    settings(directory.path(), store.addr, 4);
+    settings(directory.path(), "host-1", store.addr, 4);
     gateway.signal("-HUP");
     assert!(gateway
         .wait_for_line("HS0109 reloaded")
@@ -196,9 +206,9 @@
     store.put("op/config", &deployment.bytes());
     store.put_target("i-1", "plain", target.addr, "hall-a", "ready");
     let directory = tempfile::tempdir().expect("a temporary directory");
-    let path = settings(directory.path(), store.addr, 2);
+    let path = settings(directory.path(), "host-1", store.addr, 2);
     let callers = callers_addr(&path);
-    let mut child = spawn(&path);
+    let mut child = spawn(&own_program(), &path);
     let deadline = std::time::Instant::now() + TIMEOUT;
     while get_status(callers, "/safe/").await != Some(200) {
         assert!(
@@ -232,7 +242,7 @@
 }
 
 /// Callers' address in a settings file.
-fn callers_addr(settings: &Path) -> SocketAddr {
+pub(crate) fn callers_addr(settings: &Path) -> SocketAddr {
     let text = std::fs::read_to_string(settings).expect("the settings can be read");
     let (_, rest) = text
         .split_once("front: ")
--- a/tests/suite/mixed_rollouts.rs
+++ b/tests/suite/mixed_rollouts.rs
@@ -2,17 +2,16 @@
 //!
 //! `HOLLOWSAIL_OLD_BUILD` names the program of an older build, as in `mixed_builds`.
 
-use std::net::{SocketAddr, TcpListener};
+use std::net::SocketAddr;
 use std::path::Path;
-use std::process::{Child, Command, Stdio};
+use std::process::Child;
 use std::time::{Duration, Instant};
 
 use hollowsail_platform_standins::target::answer;
 use hollowsail_platform_standins::{DeploymentJson, Step, StoreStandin, TargetStandin};
-use rand::Rng;
 use serde_json::{json, Value};
 
-use crate::gateway::get_status;
+use crate::gateway::{callers_addr, get_status, settings, spawn};
 use crate::mixed_builds::old_program;
 use crate::process::own_program;
 
@@ -34,35 +33,13 @@
     }
 }
 
-/// A free port below those that the system gives to outgoing connections.
-fn free_addr() -> SocketAddr {
-    loop {
-        let port = rand::rng().random_range(15_000..30_000);
-        if let Ok(listener) = TcpListener::bind(("127.0.0.1", port)) {
-            return listener.local_addr().expect("the listener is bound");
-        }
-    }
-}
-
 impl Gateway {
     fn start(program: &Path, directory: &Path, host: &str, store: SocketAddr) -> Self {
-        let [callers, readiness, peers, metrics] = [(); 4].map(|()| free_addr());
-        let text = format!(
-            "node: {host}\nip: 127.0.0.1\nzone: hall-a\n\
-             listen:\n  front: {callers}\n  readiness: {readiness}\n  control: {peers}\n  metrics: {metrics}\n\
-             limits:\n  memory_mb: 260\n  max_fds: 4100\n\
-             bounds:\n  drain_ms: 2000\n  grace_s: 4\n  config_apply_ms: 2000\n\
-             platform:\n  address: {store}\nheartbeat_ms: 1200\n"
-        );
-        let path = directory.join(format!("{host}.yaml"));
-        std::fs::write(&path, text).expect("settings can be written");
-        let child = Command::new(program)
-            .arg("gateway")
-            .env("HOLLOWSAIL_BOOT", &path)
-            .stdout(Stdio::null())
-            .spawn()
-            .expect("the gateway starts");
-        Gateway { child, callers }
+        let settings = settings(directory, host, store, 4);
+        Gateway {
+            callers: callers_addr(&settings),
+            child: spawn(program, &settings),
+        }
     }
 }
 
